--- a/crates/formats/src/chunked.rs
+++ b/crates/formats/src/http.rs
@@ -20,7 +20,7 @@
 }
 
 #[derive(Debug)]
-pub struct Response {
+pub struct ResponseParser {
     stage: Stage,
     line: Vec<u8>,
     headers: usize,
@@ -29,20 +29,20 @@
     pub status: u16,
 }
 
-impl Default for Response {
+impl Default for ResponseParser {
     fn default() -> Self {
         let (stage, line) = (Stage::Status, Vec::new());
-        Response { stage, line, headers: 0, length: None, chunked: false, status: 0 }
+        ResponseParser { stage, line, headers: 0, length: None, chunked: false, status: 0 }
     }
 }
 
-impl Response {
-    pub fn done(&self) -> bool {
+impl ResponseParser {
+    pub fn is_complete(&self) -> bool {
         self.stage == Stage::Done
     }
 
     /// The connection's end is the body's end.
-    pub fn ends_with_connection(&self) -> bool {
+    pub fn is_close_delimited(&self) -> bool {
         self.stage == Stage::ToTheEnd
     }
 
--- a/crates/formats/src/lines.rs
+++ b/crates/formats/src/lines.rs
@@ -1,22 +1,22 @@
-//! Lines out of a stream of bytes, each at most so long.
+//! LineBuffer out of a stream of bytes, each at most so long.
 
 use std::collections::VecDeque;
 
 #[derive(Debug)]
-pub struct Lines {
+pub struct LineBuffer {
     most: usize,
     held: VecDeque<u8>,
     /// Bytes known to hold no line end.
     searched: usize,
 }
 
-impl Lines {
+impl LineBuffer {
     pub fn new(most: usize) -> Self {
-        Lines { most, held: VecDeque::new(), searched: 0 }
+        LineBuffer { most, held: VecDeque::new(), searched: 0 }
     }
 
     /// Bytes that it occupies.
-    pub fn occupies(&self) -> usize {
+    pub fn allocated_bytes(&self) -> usize {
         self.held.capacity()
     }
 
@@ -25,7 +25,7 @@
     }
 
     /// The next whole line without its end; an error once one is longer than allowed.
-    pub fn next(&mut self, line: &mut Vec<u8>) -> Result<bool, &'static str> {
+    pub fn next_line(&mut self, line: &mut Vec<u8>) -> Result<bool, &'static str> {
         line.clear();
         let end = self.held.iter().skip(self.searched).position(|b| *b == b'\n').map(|at| at + self.searched);
         if end.unwrap_or(self.held.len()) > self.most {
--- a/crates/formats/src/resp.rs
+++ b/crates/formats/src/resp.rs
@@ -8,62 +8,62 @@
 
 /// How much one message may be.
 #[derive(Clone, Copy, Debug)]
-pub struct Bounds {
-    pub parts: usize,
-    pub bulk: usize,
-    pub line: usize,
-    pub whole: usize,
+pub struct MessageLimits {
+    pub max_elements: usize,
+    pub max_bulk_bytes: usize,
+    pub max_line_bytes: usize,
+    pub max_message_bytes: usize,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
-    Bulk,
+pub enum ElementKind {
+    BulkString,
     Null,
-    Simple,
+    SimpleString,
     Error,
     Integer,
 }
 
 /// One part: what it is, where all its bytes lie, and where its text does.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Part {
-    pub kind: Kind,
-    pub whole: Range<usize>,
-    pub text: Range<usize>,
+pub struct Element {
+    pub kind: ElementKind,
+    pub encoded: Range<usize>,
+    pub payload: Range<usize>,
 }
 
 /// Finds the message that starts at the first byte, in as many calls as it takes to come.
 #[derive(Debug)]
 pub struct Scanner {
-    bounds: Bounds,
+    bounds: MessageLimits,
     at: usize,
     /// Parts still to come; none before the first line was read.
     left: Option<usize>,
     /// Where the bulk string ends that is not whole yet.
     bulk_end: Option<usize>,
-    pub array: bool,
-    pub parts: Vec<Part>,
+    pub is_array: bool,
+    pub elements: Vec<Element>,
 }
 
 impl Scanner {
-    pub fn new(bounds: Bounds) -> Self {
-        Scanner { bounds, at: 0, left: None, bulk_end: None, array: false, parts: Vec::new() }
+    pub fn new(bounds: MessageLimits) -> Self {
+        Scanner { bounds, at: 0, left: None, bulk_end: None, is_array: false, elements: Vec::new() }
     }
 
     /// Makes ready for the next message.
     pub fn reset(&mut self) {
-        (self.at, self.left, self.bulk_end, self.array) = (0, None, None, false);
-        self.parts.clear();
+        (self.at, self.left, self.bulk_end, self.is_array) = (0, None, None, false);
+        self.elements.clear();
     }
 
     /// Nothing of a message has been read yet.
-    pub fn fresh(&self) -> bool {
+    pub fn is_at_message_start(&self) -> bool {
         self.at == 0
     }
 
     /// How long the message must be at least, as far as a bulk string that is not whole yet tells, and whether it
     /// ends there.
-    pub fn wants(&self) -> Option<(usize, bool)> {
+    pub fn required_length(&self) -> Option<(usize, bool)> {
         self.bulk_end.map(|end| (end, self.left.unwrap_or(1) == 1))
     }
 
@@ -71,10 +71,14 @@
     pub fn scan(&mut self, bytes: &[u8]) -> Result<Option<usize>, &'static str> {
         while self.left != Some(0) {
             if !self.step(bytes)? {
-                return if bytes.len() > self.bounds.whole { Err("message too long") } else { Ok(None) };
+                return if bytes.len() > self.bounds.max_message_bytes {
+                    Err("message too long")
+                } else {
+                    Ok(None)
+                };
             }
         }
-        if self.at > self.bounds.whole { Err("message too long") } else { Ok(Some(self.at)) }
+        if self.at > self.bounds.max_message_bytes { Err("message too long") } else { Ok(Some(self.at)) }
     }
 
     /// Reads one line, with the bulk string that it heads; false where it is not whole yet.
@@ -82,7 +86,7 @@
         let rest = bytes.get(self.at..).unwrap_or_default();
         let Some(&sign) = rest.first() else { return Ok(false) };
         let most = match sign {
-            b'+' | b'-' => self.bounds.line,
+            b'+' | b'-' => self.bounds.max_line_bytes,
             b'$' | b'*' | b':' => HEADER,
             _ => return Err("not a RESP type"),
         };
@@ -99,15 +103,15 @@
             b'*' if self.left.is_some() => return Err("nested array"),
             b'*' => {
                 let count = length(&bytes[text])?.ok_or("null array")?;
-                if count > self.bounds.parts {
+                if count > self.bounds.max_elements {
                     return Err("too many parts");
                 }
-                (self.left, self.array, self.at) = (Some(count), true, after);
+                (self.left, self.is_array, self.at) = (Some(count), true, after);
                 return Ok(true);
             }
             b'$' => match length(&bytes[text.clone()])? {
-                None => self.part(Kind::Null, text, after),
-                Some(size) if size > self.bounds.bulk => return Err("bulk string too long"),
+                None => self.part(ElementKind::Null, text, after),
+                Some(size) if size > self.bounds.max_bulk_bytes => return Err("bulk string too long"),
                 Some(size) => {
                     let (text, after) = (after..after + size, after + size + 2);
                     match bytes.get(text.end..after) {
@@ -115,20 +119,20 @@
                             self.bulk_end = Some(after);
                             return Ok(false);
                         }
-                        Some(b"\r\n") => self.part(Kind::Bulk, text, after),
+                        Some(b"\r\n") => self.part(ElementKind::BulkString, text, after),
                         Some(_) => return Err("bulk string not ended by CR LF"),
                     }
                 }
             },
-            b'+' => self.part(Kind::Simple, text, after),
-            b'-' => self.part(Kind::Error, text, after),
-            _ => self.part(Kind::Integer, text, after),
+            b'+' => self.part(ElementKind::SimpleString, text, after),
+            b'-' => self.part(ElementKind::Error, text, after),
+            _ => self.part(ElementKind::Integer, text, after),
         }
         Ok(true)
     }
 
-    fn part(&mut self, kind: Kind, text: Range<usize>, after: usize) {
-        self.parts.push(Part { kind, whole: self.at..after, text });
+    fn part(&mut self, kind: ElementKind, text: Range<usize>, after: usize) {
+        self.elements.push(Element { kind, encoded: self.at..after, payload: text });
         (self.at, self.bulk_end) = (after, None);
         self.left = Some(self.left.unwrap_or(1).saturating_sub(1));
     }
@@ -144,13 +148,13 @@
     text.and_then(|t| t.parse().ok()).map(Some).ok_or("length is not a number")
 }
 
-pub fn write_bulk(out: &mut Vec<u8>, text: &[u8]) {
+pub fn write_bulk_string(out: &mut Vec<u8>, text: &[u8]) {
     out.extend_from_slice(format!("${}\r\n", text.len()).as_bytes());
     out.extend_from_slice(text);
     out.extend_from_slice(b"\r\n");
 }
 
-pub fn write_simple(out: &mut Vec<u8>, text: &str) {
+pub fn write_simple_string(out: &mut Vec<u8>, text: &str) {
     write_line(out, b'+', text);
 }
 
--- a/crates/formats/tests/parsers.rs
+++ b/crates/formats/tests/parsers.rs
@@ -1,14 +1,15 @@
 //! The parsers, fed whole, byte by byte, and with what is no message.
 
 use rstest::rstest;
-use stonescale_formats::chunked::Response;
-use stonescale_formats::lines::Lines;
-use stonescale_formats::resp::{Bounds, Kind, Scanner, write_bulk, write_error};
-use stonescale_formats::rpc::{self, Listener};
+use stonescale_formats::http::ResponseParser;
+use stonescale_formats::json_rpc::{self, MessageHandler};
+use stonescale_formats::lines::LineBuffer;
+use stonescale_formats::resp::{ElementKind, MessageLimits, Scanner, write_bulk_string, write_error};
 
-const BOUNDS: Bounds = Bounds { parts: 4, bulk: 100, line: 40, whole: 200 };
+const BOUNDS: MessageLimits =
+    MessageLimits { max_elements: 4, max_bulk_bytes: 100, max_line_bytes: 40, max_message_bytes: 200 };
 
-type Found = Option<(usize, Vec<(Kind, Vec<u8>)>)>;
+type Found = Option<(usize, Vec<(ElementKind, Vec<u8>)>)>;
 
 /// Scans `bytes` as they grow by `step`; returns the message's length and its parts.
 fn scan(bytes: &[u8], step: usize) -> Result<Found, &'static str> {
@@ -17,7 +18,7 @@
     while end < bytes.len() {
         end = (end + step).min(bytes.len());
         if let Some(length) = scanner.scan(&bytes[..end])? {
-            let parts = scanner.parts.iter().map(|p| (p.kind, bytes[p.text.clone()].to_vec()));
+            let parts = scanner.elements.iter().map(|p| (p.kind, bytes[p.payload.clone()].to_vec()));
             return Ok(Some((length, parts.collect())));
         }
     }
@@ -30,8 +31,12 @@
     let next = [&message[..], b"+PONG\r\n"].concat();
     let (length, parts) = scan(&next, step).unwrap().unwrap();
     assert_eq!(length, message.len());
-    let expected =
-        [(Kind::Bulk, &b"va\r\ne"[..]), (Kind::Null, b"-1"), (Kind::Integer, b"12"), (Kind::Bulk, b"")];
+    let expected = [
+        (ElementKind::BulkString, &b"va\r\ne"[..]),
+        (ElementKind::Null, b"-1"),
+        (ElementKind::Integer, b"12"),
+        (ElementKind::BulkString, b""),
+    ];
     assert_eq!(parts, expected.map(|(kind, text)| (kind, text.to_vec())));
     assert_eq!(scan(message[..message.len() - 1].as_ref(), step), Ok(None));
 }
@@ -73,16 +78,16 @@
 fn what_is_written_ends_where_it_should() {
     let mut out = Vec::new();
     write_error(&mut out, "ERR two\r\nlines");
-    write_bulk(&mut out, b"a\r\n");
+    write_bulk_string(&mut out, b"a\r\n");
     assert_eq!(out, b"-ERR two  lines\r\n$3\r\na\r\n\r\n");
 }
 
 #[rstest]
 fn a_chunked_answer_is_read_however_it_is_cut(#[values(1, 3, 1000)] step: usize) {
     let answer = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4;x=1\r\n{\"a\"\r\nc\r\n:1}\n{\"b\":2}\n\r\n0\r\n\r\n";
-    let (mut response, mut body) = (Response::default(), Vec::new());
+    let (mut response, mut body) = (ResponseParser::default(), Vec::new());
     answer.chunks(step).for_each(|part| response.feed(part, &mut body).unwrap());
-    assert!(response.done());
+    assert!(response.is_complete());
     assert_eq!((response.status, &body[..]), (200, &b"{\"a\":1}\n{\"b\":2}\n"[..]));
 }
 
@@ -90,9 +95,9 @@
 #[case::counted(b"HTTP/1.1 503 No\r\nContent-Length: 2\r\n\r\nno", true, b"no")]
 #[case::to_the_end(b"HTTP/1.1 200 OK\r\n\r\nall", false, b"all")]
 fn other_bodies_are_read_too(#[case] answer: &[u8], #[case] done: bool, #[case] expected: &[u8]) {
-    let (mut response, mut body) = (Response::default(), Vec::new());
+    let (mut response, mut body) = (ResponseParser::default(), Vec::new());
     response.feed(answer, &mut body).unwrap();
-    assert_eq!((response.done(), response.ends_with_connection(), &body[..]), (done, !done, expected));
+    assert_eq!((response.is_complete(), response.is_close_delimited(), &body[..]), (done, !done, expected));
 }
 
 #[rstest]
@@ -103,32 +108,32 @@
 #[case::past_the_end(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\nx")]
 #[case::chunk_longer(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nabc\r\n")]
 fn what_is_no_answer_is_an_error(#[case] bytes: &[u8]) {
-    assert!(Response::default().feed(bytes, &mut Vec::new()).is_err());
+    assert!(ResponseParser::default().feed(bytes, &mut Vec::new()).is_err());
 }
 
 #[rstest]
 fn lines_are_cut_at_their_ends_and_bounded() {
-    let (mut lines, mut line) = (Lines::new(8), Vec::new());
+    let (mut lines, mut line) = (LineBuffer::new(8), Vec::new());
     lines.feed(b"one\r\n\ntw");
-    assert_eq!((lines.next(&mut line), line.clone()), (Ok(true), b"one".to_vec()));
-    assert_eq!((lines.next(&mut line), line.clone()), (Ok(true), Vec::new()));
-    assert_eq!(lines.next(&mut line), Ok(false));
+    assert_eq!((lines.next_line(&mut line), line.clone()), (Ok(true), b"one".to_vec()));
+    assert_eq!((lines.next_line(&mut line), line.clone()), (Ok(true), Vec::new()));
+    assert_eq!(lines.next_line(&mut line), Ok(false));
     lines.feed(b"o\n123456789");
-    assert_eq!((lines.next(&mut line), line.clone()), (Ok(true), b"two".to_vec()));
-    assert!(lines.next(&mut line).is_err());
+    assert_eq!((lines.next_line(&mut line), line.clone()), (Ok(true), b"two".to_vec()));
+    assert!(lines.next_line(&mut line).is_err());
 }
 
 #[derive(Default)]
 struct Heard(Vec<String>);
 
-impl Listener for Heard {
-    fn result(&mut self, id: u64, result: &serde_json::Value) {
+impl MessageHandler for Heard {
+    fn on_result(&mut self, id: u64, result: &serde_json::Value) {
         self.0.push(format!("{id} {result}"));
     }
-    fn error(&mut self, id: u64, message: &str) {
+    fn on_error(&mut self, id: u64, message: &str) {
         self.0.push(format!("{id} failed: {message}"));
     }
-    fn notice(&mut self, method: &str, params: &serde_json::Value) {
+    fn on_notification(&mut self, method: &str, params: &serde_json::Value) {
         self.0.push(format!("{method} {params}"));
     }
 }
@@ -145,19 +150,20 @@
 #[case("]", Err("not JSON"))]
 fn a_line_of_json_rpc_goes_where_it_belongs(#[case] line: &str, #[case] expected: Result<&str, &str>) {
     let mut heard = Heard::default();
-    let read = rpc::read(line.as_bytes(), &mut heard);
+    let read = json_rpc::dispatch_message(line.as_bytes(), &mut heard);
     assert_eq!(read.map(|()| heard.0.concat()), expected.map(str::to_owned));
 }
 
 #[rstest]
 fn a_bulk_string_that_is_not_whole_says_how_long_the_message_must_be() {
-    let bounds = Bounds { parts: 8, bulk: 100, line: 64, whole: 400 };
+    let bounds =
+        MessageLimits { max_elements: 8, max_bulk_bytes: 100, max_line_bytes: 64, max_message_bytes: 400 };
     let message = b"*2\r\n$4\r\nPING\r\n$50\r\nhalf of it";
     let mut scanner = Scanner::new(bounds);
     let seen: Vec<_> = (1..=message.len())
         .map(|n| {
             assert_eq!(scanner.scan(&message[..n]), Ok(None));
-            scanner.wants()
+            scanner.required_length()
         })
         .collect();
     // Known once its header is in: first the word, behind which more comes, then the last part.
@@ -165,5 +171,5 @@
     assert_eq!(seen[13], None);
     assert_eq!(seen.last(), Some(&Some((14 + 5 + 50 + 2, true))));
     scanner.reset();
-    assert_eq!(scanner.wants(), None);
+    assert_eq!(scanner.required_length(), None);
 }
--- a/crates/lab/src/node.rs
+++ b/crates/lab/src/node.rs
@@ -406,9 +406,9 @@
     let mut text = id.as_bytes().to_vec();
     text.resize(size.max(text.len()), b'.');
     let mut out = b"*3\r\n".to_vec();
-    stonescale_formats::resp::write_bulk(&mut out, &text);
+    stonescale_formats::resp::write_bulk_string(&mut out, &text);
     out.extend_from_slice(b"$-1\r\n");
-    stonescale_formats::resp::write_bulk(&mut out, REPORT.as_bytes());
+    stonescale_formats::resp::write_bulk_string(&mut out, REPORT.as_bytes());
     out
 }
 
--- a/crates/lab/src/wire.rs
+++ b/crates/lab/src/wire.rs
@@ -3,10 +3,15 @@
 use crate::stage::Stream;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use std::io;
-use stonescale_formats::resp::{Bounds, Kind, Scanner, write_bulk};
+use stonescale_formats::resp::{ElementKind, MessageLimits, Scanner, write_bulk_string};
 
 /// As much as the protocol page allows, and some more: what is too much is for the other side to find.
-const BOUNDS: Bounds = Bounds { parts: 32, bulk: 1 << 20, line: 4096, whole: 2 << 20 };
+const BOUNDS: MessageLimits = MessageLimits {
+    max_elements: 32,
+    max_bulk_bytes: 1 << 20,
+    max_line_bytes: 4096,
+    max_message_bytes: 2 << 20,
+};
 
 /// A message as it was read.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -53,12 +58,12 @@
         }
         let bad = |why| io::Error::new(io::ErrorKind::InvalidData, why);
         let Some(length) = self.scanner.scan(&self.held).map_err(bad)? else { return Ok(None) };
-        let text = |part: &stonescale_formats::resp::Part| self.held[part.text.clone()].to_vec();
-        let message = match (self.scanner.array, self.scanner.parts.first()) {
-            (true, _) => Message::Array(self.scanner.parts.iter().map(text).collect()),
+        let text = |part: &stonescale_formats::resp::Element| self.held[part.payload.clone()].to_vec();
+        let message = match (self.scanner.is_array, self.scanner.elements.first()) {
+            (true, _) => Message::Array(self.scanner.elements.iter().map(text).collect()),
             (false, Some(part)) => match part.kind {
-                Kind::Bulk => Message::Bulk(text(part)),
-                Kind::Null => Message::Null,
+                ElementKind::BulkString => Message::Bulk(text(part)),
+                ElementKind::Null => Message::Null,
                 _ => Message::Line(String::from_utf8_lossy(&self.held[..length]).trim_end().to_owned()),
             },
             (false, None) => Message::Null,
@@ -72,7 +77,7 @@
 /// A command of bulk strings.
 pub fn command(words: &[&[u8]]) -> Vec<u8> {
     let mut out = format!("*{}\r\n", words.len()).into_bytes();
-    words.iter().for_each(|word| write_bulk(&mut out, word));
+    words.iter().for_each(|word| write_bulk_string(&mut out, word));
     out
 }
 
--- a/crates/marshal/src/clients.rs
+++ b/crates/marshal/src/clients.rs
@@ -17,7 +17,7 @@
 use stonescale_budget::buffer::LEAST;
 use stonescale_budget::plan::{CLIENT, HIT};
 use stonescale_budget::{Buffer, Ledger, Purpose};
-use stonescale_formats::resp::{Kind, Scanner};
+use stonescale_formats::resp::{ElementKind, Scanner};
 use stonescale_site::Names;
 use tracing::{debug, warn};
 
@@ -246,7 +246,7 @@
     /// never ran. An error says why the connection can't be read on.
     fn makes_room(&self, client: &Client, reading: &mut Reading) -> Result<(), &'static str> {
         let Reading { held, scanner, passed, .. } = reading;
-        let wants = scanner.wants();
+        let wants = scanner.required_length();
         let more = match wants {
             None if held.spare() > 0 => 0,
             None => LEAST,
@@ -256,7 +256,7 @@
             return Ok(());
         }
         let Some((end, true)) = wants else { return Err("no room for a command of such a form") };
-        let ask = command::read_list(held.as_slice(), &scanner.parts, &self.names);
+        let ask = command::read_list(held.as_slice(), &scanner.elements, &self.names);
         let answer = ask.map_or_else(|why| command::faulty(&why), |ask| self.bounced(ask.group));
         *passed = Some(Passed { left: end - held.len(), place: client.place(), answer });
         client.asked.set(true);
@@ -292,14 +292,16 @@
         let Reading { held, scanner, .. } = reading;
         while !held.is_empty() && client.may_ask() {
             let bytes = held.as_slice();
-            if scanner.fresh() && bytes[0] != b'*' {
+            if scanner.is_at_message_start() && bytes[0] != b'*' {
                 return Err("a command is an array of bulk strings");
             }
             let Some(length) = scanner.scan(bytes)? else { break };
-            if scanner.parts.is_empty() || scanner.parts.iter().any(|p| p.kind != Kind::Bulk) {
+            if scanner.elements.is_empty()
+                || scanner.elements.iter().any(|p| p.kind != ElementKind::BulkString)
+            {
                 return Err("a command is an array of bulk strings");
             }
-            let request = understand(&bytes[..length], &scanner.parts, &self.names);
+            let request = understand(&bytes[..length], &scanner.elements, &self.names);
             scanner.reset();
             let place = client.place();
             match request {
--- a/crates/marshal/src/command.rs
+++ b/crates/marshal/src/command.rs
@@ -4,19 +4,24 @@
 use stonescale::terms::Effect;
 use stonescale::time::Span;
 use stonescale_budget::buffer::Block;
-use stonescale_formats::resp::{self, Bounds, Part};
+use stonescale_formats::resp::{self, Element, MessageLimits};
 use stonescale_site::Names;
 
 /// A value or body holds at most 64 KiB, by the protocol page; the rest of a command is short.
 pub const VALUE: usize = 64 * 1024;
-pub const BOUNDS: Bounds = Bounds { parts: 16, bulk: VALUE, line: 512, whole: VALUE + 4 * 1024 };
+pub const BOUNDS: MessageLimits = MessageLimits {
+    max_elements: 16,
+    max_bulk_bytes: VALUE,
+    max_line_bytes: 512,
+    max_message_bytes: VALUE + 4 * 1024,
+};
 /// No client waits longer than this.
 const LONGEST_WAIT_MS: u64 = 600_000;
 
 /// What a hit's command says, and where in it that stands.
 pub struct Ask {
     /// The list of names and values, with its header, and where in it the wait stands.
-    list: Part,
+    list: Element,
     wait: Range<usize>,
     pub group: usize,
     pub tenant: usize,
@@ -42,11 +47,11 @@
     pub fn pieces<R>(&self, wait: Span, write: impl FnOnce(&[&[u8]]) -> R) -> R {
         let (bytes, Ask { list, wait: place, .. }) = (self.block.as_slice(), &self.ask);
         let wait = (wait.as_nanos() / 1_000_000).max(1).to_string();
-        let header = format!("${}\r\n", list.text.len() - place.len() + wait.len());
+        let header = format!("${}\r\n", list.payload.len() - place.len() + wait.len());
         write(&[
-            &bytes[..list.whole.start],
+            &bytes[..list.encoded.start],
             header.as_bytes(),
-            &bytes[list.text.start..place.start],
+            &bytes[list.payload.start..place.start],
             wait.as_bytes(),
             &bytes[place.end..],
         ])
@@ -69,19 +74,19 @@
 }
 
 /// What a command asks for; an error says what is wrong with it.
-pub fn understand(bytes: &[u8], parts: &[Part], names: &Names) -> Result<Request, String> {
-    let word = |at: usize| parts.get(at).map(|p| &bytes[p.text.clone()]).unwrap_or_default();
+pub fn understand(bytes: &[u8], parts: &[Element], names: &Names) -> Result<Request, String> {
+    let word = |at: usize| parts.get(at).map(|p| &bytes[p.payload.clone()]).unwrap_or_default();
     let name = String::from_utf8_lossy(word(0)).to_ascii_uppercase();
     let plain = |text: &str| {
         let mut out = Vec::new();
-        resp::write_simple(&mut out, text);
+        resp::write_simple_string(&mut out, text);
         Ok(Request::Other(out))
     };
     let repeatable = match name.as_str() {
         "PING" if parts.len() <= 1 => return plain("PONG"),
         "PING" => {
             let mut out = Vec::new();
-            resp::write_bulk(&mut out, word(1));
+            resp::write_bulk_string(&mut out, word(1));
             return Ok(Request::Other(out));
         }
         "CLIENT" | "SELECT" => return plain("OK"),
@@ -99,11 +104,11 @@
 }
 
 /// What the third argument says; also of a command whose body has not come.
-pub fn read_list(bytes: &[u8], parts: &[Part], names: &Names) -> Result<Ask, String> {
-    let word = |at: usize| parts.get(at).map(|p| &bytes[p.text.clone()]).unwrap_or_default();
+pub fn read_list(bytes: &[u8], parts: &[Element], names: &Names) -> Result<Ask, String> {
+    let word = |at: usize| parts.get(at).map(|p| &bytes[p.payload.clone()]).unwrap_or_default();
     let list = parts.get(3).ok_or("no list of names and values")?;
     let (mut group, mut tenant, mut wait, mut tagged) = (None, None, None, false);
-    let mut start = list.text.start;
+    let mut start = list.payload.start;
     for item in word(3).split(|b| *b == b',') {
         let (at, split) = (start, item.iter().position(|b| *b == b'=').unwrap_or(item.len()));
         start += item.len() + 1;
@@ -133,7 +138,7 @@
     if matches!(names.groups[group].effect, Effect::Tagged { .. }) && !tagged {
         return Err("k is missing".into());
     }
-    let id = parts.get(2).map_or(0..0, |p| p.text.clone());
+    let id = parts.get(2).map_or(0..0, |p| p.payload.clone());
     Ok(Ask {
         id,
         list: list.clone(),
--- a/crates/marshal/src/discovery.rs
+++ b/crates/marshal/src/discovery.rs
@@ -15,8 +15,8 @@
 use stonescale::host::{Listing, Place, Readiness};
 use stonescale::time::Time;
 use stonescale_budget::{Ledger, Purpose};
-use stonescale_formats::chunked::Response;
-use stonescale_formats::lines::Lines;
+use stonescale_formats::http::ResponseParser;
+use stonescale_formats::lines::LineBuffer;
 use stonescale_site::Names;
 use tracing::info;
 
@@ -196,8 +196,10 @@
             format!("GET {} HTTP/1.1\r\nHost: {}\r\nAccept: application/json\r\n\r\n", self.path, self.addr);
         // A fresh connection takes so few bytes at once.
         stream.get_ref().write_all(ask.as_bytes()).map_err(|e| format!("not asked: {e}"))?;
-        let (mut response, mut lines) =
-            (Response::default(), Lines::new(LINE.min(self.ledger.cap(Purpose::Discovery) / LINE_PART)));
+        let (mut response, mut lines) = (
+            ResponseParser::default(),
+            LineBuffer::new(LINE.min(self.ledger.cap(Purpose::Discovery) / LINE_PART)),
+        );
         let mut charge = self.ledger.open(Purpose::Discovery);
         let (mut scratch, mut body, mut line) = (vec![0; 16 * 1024], Vec::new(), Vec::new());
         loop {
@@ -206,14 +208,14 @@
                 return Err(format!("answered with status {}", response.status));
             }
             lines.feed(&body);
-            let over = ended || response.done();
+            let over = ended || response.is_complete();
             if over {
                 lines.feed(b"\n");
             }
             // What is read but can't be held is asked for anew: a list is true as a whole or not at all.
-            let held = |lines: &Lines, line: &Vec<u8>| lines.occupies() + line.capacity();
+            let held = |lines: &LineBuffer, line: &Vec<u8>| lines.allocated_bytes() + line.capacity();
             charge.resize(held(&lines, &line)).map_err(|_| "there is no room for the list")?;
-            while lines.next(&mut line)? {
+            while lines.next_line(&mut line)? {
                 charge.resize(held(&lines, &line)).map_err(|_| "there is no room for the list")?;
                 self.line(&line)?;
             }
@@ -222,7 +224,7 @@
             }
             charge.resize(held(&lines, &line)).map_err(|_| "there is no room for the list")?;
             if over {
-                let whole = response.done() || response.ends_with_connection();
+                let whole = response.is_complete() || response.is_close_delimited();
                 let watch = self.path.contains("follow");
                 return if whole && !watch { Ok(()) } else { Err("ended by the other side".into()) };
             }
@@ -231,7 +233,7 @@
 
     /// The next bytes of the body; true at the connection's end.
     async fn bytes(
-        stream: &Async<TcpStream>, scratch: &mut [u8], response: &mut Response, body: &mut Vec<u8>,
+        stream: &Async<TcpStream>, scratch: &mut [u8], response: &mut ResponseParser, body: &mut Vec<u8>,
     ) -> Result<bool, String> {
         body.clear();
         let (signal, until) = (Signal::default(), Instant::now() + SILENCE);
--- a/crates/marshal/src/nodes.rs
+++ b/crates/marshal/src/nodes.rs
@@ -19,10 +19,15 @@
 use stonescale_budget::plan::LINK;
 use stonescale_budget::purpose::Reclaim;
 use stonescale_budget::{Buffer, Charge, Ledger, Purpose, Refused};
-use stonescale_formats::resp::{Bounds, Kind, Scanner};
+use stonescale_formats::resp::{ElementKind, MessageLimits, Scanner};
 use tracing::{debug, info, warn};
 
-const BOUNDS: Bounds = Bounds { parts: 8, bulk: VALUE, line: 1024, whole: VALUE + 4 * 1024 };
+const BOUNDS: MessageLimits = MessageLimits {
+    max_elements: 8,
+    max_bulk_bytes: VALUE,
+    max_line_bytes: 1024,
+    max_message_bytes: VALUE + 4 * 1024,
+};
 /// Of the time in which a node closes an idle connection: by then the marshal has closed it itself.
 const RETIRE: f64 = 0.6;
 /// Of that, where node connections run short of memory: one that was used so lately is likely used again.
@@ -423,7 +428,7 @@
             if let Err(ending) = link.flush() {
                 return ending;
             }
-            let more = match scanner.wants() {
+            let more = match scanner.required_length() {
                 None if held.spare() > 0 => 0,
                 None => LEAST,
                 Some((end, _)) => end.saturating_sub(held.len()),
@@ -467,21 +472,23 @@
         while !held.is_empty() {
             let bytes = held.as_slice();
             let Some(length) = scanner.scan(bytes)? else { return Ok(()) };
-            let first = scanner.parts.first().ok_or("empty array")?;
-            let ending = match (scanner.array, first.kind) {
+            let first = scanner.elements.first().ok_or("empty array")?;
+            let ending = match (scanner.is_array, first.kind) {
                 // Load report and null that may follow are read past.
-                (true, Kind::Bulk) => Ending::Served,
-                (false, Kind::Error) if !known(&bytes[first.text.clone()]) => {
+                (true, ElementKind::BulkString) => Ending::Served,
+                (false, ElementKind::Error) if !known(&bytes[first.payload.clone()]) => {
                     return Err("an error of no known form");
                 }
-                (false, Kind::Error) if bytes[first.text.clone()].starts_with(b"BUSY") => Ending::SaidBusy,
-                (false, Kind::Error) => Ending::SaidFailed,
+                (false, ElementKind::Error) if bytes[first.payload.clone()].starts_with(b"BUSY") => {
+                    Ending::SaidBusy
+                }
+                (false, ElementKind::Error) => Ending::SaidFailed,
                 _ => return Err("neither a value nor an error"),
             };
-            if ending == Ending::SaidFailed && bytes[first.text.clone()].starts_with(b"SYNTAX") {
+            if ending == Ending::SaidFailed && bytes[first.payload.clone()].starts_with(b"SYNTAX") {
                 warn!("a node found a forward malformed");
             }
-            let place = first.whole.clone();
+            let place = first.encoded.clone();
             let mut flights = self.link.flights.borrow_mut();
             let flight = flights.pop_front_if(|f| self.link.sent(f)).ok_or("no forward was out")?;
             drop(flights);
--- a/crates/marshal/src/platform.rs
+++ b/crates/marshal/src/platform.rs
@@ -17,8 +17,8 @@
 use stonescale::host::{Fate, Standing, Verdict};
 use stonescale::time::Span;
 use stonescale_budget::{Buffer, Ledger, Purpose};
-use stonescale_formats::lines::Lines;
-use stonescale_formats::rpc::{self, Listener};
+use stonescale_formats::json_rpc::{self, MessageHandler};
+use stonescale_formats::lines::LineBuffer;
 use tracing::{info, warn};
 
 /// A sign of life comes every second, by the protocol page: after three, the connection may be dead.
@@ -228,7 +228,7 @@
     async fn talk(&self, post: &Post, stream: &Async<TcpStream>, line: &mut Line) -> String {
         let subscription = self.next_id();
         line.call(subscription, "subscribe", Value::Null);
-        let (mut lines, mut text, mut scratch) = (Lines::new(LINE), Vec::new(), vec![0; 4 * 1024]);
+        let (mut lines, mut text, mut scratch) = (LineBuffer::new(LINE), Vec::new(), vec![0; 4 * 1024]);
         let mut charge = self.ledger.open(Purpose::Platform);
         let mut silent_at = Instant::now() + SILENCE;
         loop {
@@ -249,7 +249,7 @@
                     Ok(Some([])) => return "ended by the other side".into(),
                     Ok(Some(bytes)) => {
                         lines.feed(bytes);
-                        if charge.resize(lines.occupies() + text.capacity()).is_err() {
+                        if charge.resize(lines.allocated_bytes() + text.capacity()).is_err() {
                             return "there is no room for what it says".into();
                         }
                     }
@@ -258,10 +258,10 @@
                 _ => {}
             }
             loop {
-                match lines.next(&mut text) {
+                match lines.next_line(&mut text) {
                     Ok(true) => {
                         let mut ear = Ear { platform: self, post, subscription, unread: None };
-                        let read = rpc::read(&text, &mut ear).map_err(str::to_owned);
+                        let read = json_rpc::dispatch_message(&text, &mut ear).map_err(str::to_owned);
                         // Behind a line that can't be read, nothing is sure: who has nothing to say to it
                         // would wait for what was lost with it.
                         if let Err(why) = read.and(ear.unread.map_or(Ok(()), Err)) {
@@ -302,7 +302,7 @@
     /// Queues a call if there is room; returns how many bytes will have been written with it.
     fn call(&mut self, id: u64, method: &str, params: Value) -> Option<u64> {
         let mut text = Vec::new();
-        rpc::write_call(&mut text, id, method, params);
+        json_rpc::write_request(&mut text, id, method, params);
         self.out.extend(&text).ok()?;
         self.queued += text.len() as u64;
         Some(self.queued)
@@ -332,8 +332,8 @@
     }
 }
 
-impl Listener for Ear<'_> {
-    fn result(&mut self, id: u64, result: &Value) {
+impl MessageHandler for Ear<'_> {
+    fn on_result(&mut self, id: u64, result: &Value) {
         self.platform.heard(self.post);
         if id == self.subscription || !self.answered(id) {
             return;
@@ -347,7 +347,7 @@
         }
     }
 
-    fn error(&mut self, id: u64, message: &str) {
+    fn on_error(&mut self, id: u64, message: &str) {
         if id == self.subscription {
             warn!("platform: not subscribed: {message}");
         } else if self.answered(id) {
@@ -359,7 +359,7 @@
         }
     }
 
-    fn notice(&mut self, method: &str, params: &Value) {
+    fn on_notification(&mut self, method: &str, params: &Value) {
         self.platform.heard(self.post);
         if self.post.left.get() {
             // The newer one tells it as well.
