--- a/crates/formats/src/lib.rs
+++ b/crates/formats/src/lib.rs
@@ -1,5 +1,7 @@
-//! What stonescale speaks on sockets, as incremental parsers and writers that do no I/O. All are bounded:
-//! a length that a peer states takes no memory before the bytes have come, and no input makes them panic.
+//! Incremental parsers and writers for the protocols that stonescale speaks on sockets, without I/O.
+//!
+//! All of them are bounded: a length announced by a peer allocates no memory before the bytes have arrived, and
+//! no input causes a panic.
 
 pub mod http;
 pub mod json_rpc;
--- a/crates/formats/tests/parsers.rs
+++ b/crates/formats/tests/parsers.rs
@@ -1,4 +1,4 @@
-//! The parsers, fed whole, byte by byte, and with what is no message.
+//! Tests of the parsers with complete input, with input in fragments of several sizes, and with malformed input.
 
 use rstest::rstest;
 use stonescale_formats::http::ResponseParser;
@@ -6,30 +6,34 @@
 use stonescale_formats::lines::LineBuffer;
 use stonescale_formats::resp::{ElementKind, MessageLimits, Scanner, write_bulk_string, write_error};
 
-const BOUNDS: MessageLimits =
+const LIMITS: MessageLimits =
     MessageLimits { max_elements: 4, max_bulk_bytes: 100, max_line_bytes: 40, max_message_bytes: 200 };
 
-type Found = Option<(usize, Vec<(ElementKind, Vec<u8>)>)>;
+/// Length of a message and its elements; `None` while it is incomplete.
+type Scanned = Option<(usize, Vec<(ElementKind, Vec<u8>)>)>;
 
-/// Scans `bytes` as they grow by `step`; returns the message's length and its parts.
-fn scan(bytes: &[u8], step: usize) -> Result<Found, &'static str> {
-    let mut scanner = Scanner::new(BOUNDS);
+/// Scans prefixes of `bytes`, each `step` bytes longer than the one before, until a message is complete.
+fn scan(bytes: &[u8], step: usize) -> Result<Scanned, &'static str> {
+    let mut scanner = Scanner::new(LIMITS);
     let mut end = 0;
     while end < bytes.len() {
         end = (end + step).min(bytes.len());
         if let Some(length) = scanner.scan(&bytes[..end])? {
-            let parts = scanner.elements.iter().map(|p| (p.kind, bytes[p.payload.clone()].to_vec()));
-            return Ok(Some((length, parts.collect())));
+            let elements = scanner
+                .elements
+                .iter()
+                .map(|element| (element.kind, bytes[element.payload.clone()].to_vec()));
+            return Ok(Some((length, elements.collect())));
         }
     }
     Ok(None)
 }
 
 #[rstest]
-fn a_message_is_found_however_it_is_cut(#[values(1, 2, 3, 7, 1000)] step: usize) {
+fn resp_message_is_scanned_across_fragments(#[values(1, 2, 3, 7, 1000)] step: usize) {
     let message = b"*4\r\n$5\r\nva\r\ne\r\n$-1\r\n:12\r\n$0\r\n\r\n";
-    let next = [&message[..], b"+PONG\r\n"].concat();
-    let (length, parts) = scan(&next, step).unwrap().unwrap();
+    let input = [&message[..], b"+PONG\r\n"].concat();
+    let (length, elements) = scan(&input, step).unwrap().unwrap();
     assert_eq!(length, message.len());
     let expected = [
         (ElementKind::BulkString, &b"va\r\ne"[..]),
@@ -37,45 +41,46 @@
         (ElementKind::Integer, b"12"),
         (ElementKind::BulkString, b""),
     ];
-    assert_eq!(parts, expected.map(|(kind, text)| (kind, text.to_vec())));
+    assert_eq!(elements, expected.map(|(kind, text)| (kind, text.to_vec())));
     assert_eq!(scan(message[..message.len() - 1].as_ref(), step), Ok(None));
 }
 
 #[rstest]
-#[case::type_unknown(b"GET / HTTP/1.1\r\n")]
-#[case::count_negative(b"*-1\r\n")]
-#[case::count_huge(b"*99999\r\n")]
-#[case::count_no_number(b"*x\r\n")]
-#[case::length_huge(b"*1\r\n$4294967296\r\n")]
-#[case::length_over(b"*1\r\n$101\r\n")]
-#[case::length_negative(b"*1\r\n$-5\r\n")]
-#[case::length_signed(b"*1\r\n$+5\r\n")]
-#[case::length_endless(b"*1\r\n$00000000000000000000000000000000")]
-#[case::nested(b"*1\r\n*1\r\n")]
-#[case::line_endless(b"-01234567890123456789012345678901234567890123456789")]
-#[case::line_end_half(b"+PONG\rX")]
-#[case::bulk_longer(b"$2\r\nabcd")]
-fn what_is_no_message_is_an_error(#[case] bytes: &[u8], #[values(1, 1000)] step: usize) {
+#[case::unknown_type(b"GET / HTTP/1.1\r\n")]
+#[case::null_array(b"*-1\r\n")]
+#[case::element_count_over_limit(b"*99999\r\n")]
+#[case::element_count_not_a_number(b"*x\r\n")]
+#[case::bulk_length_beyond_32_bits(b"*1\r\n$4294967296\r\n")]
+#[case::bulk_length_over_limit(b"*1\r\n$101\r\n")]
+#[case::negative_bulk_length(b"*1\r\n$-5\r\n")]
+#[case::bulk_length_with_plus_sign(b"*1\r\n$+5\r\n")]
+#[case::unterminated_bulk_length(b"*1\r\n$00000000000000000000000000000000")]
+#[case::nested_array(b"*1\r\n*1\r\n")]
+#[case::unterminated_error_line(b"-01234567890123456789012345678901234567890123456789")]
+#[case::cr_without_lf(b"+PONG\rX")]
+#[case::bulk_longer_than_its_length(b"$2\r\nabcd")]
+fn malformed_resp_message_is_an_error(#[case] bytes: &[u8], #[values(1, 1000)] step: usize) {
     assert!(scan(bytes, step).is_err());
 }
 
 #[rstest]
-fn no_bytes_make_a_scanner_panic() {
-    let mut lot: u64 = 1;
+fn scanner_does_not_panic_on_random_bytes() {
+    let mut random_state: u64 = 1;
     for _ in 0..20_000 {
         let bytes: Vec<u8> = (0..24)
             .map(|_| {
-                lot = lot.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
-                b"*$+-:\r\n0123\r\n$*a"[(lot >> 33) as usize % 16]
+                random_state =
+                    random_state.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
+                b"*$+-:\r\n0123\r\n$*a"[(random_state >> 33) as usize % 16]
             })
             .collect();
-        let whole = scan(&bytes, 1000);
-        assert_eq!(scan(&bytes, 1).is_err(), whole.is_err());
+        let unfragmented = scan(&bytes, 1000);
+        assert_eq!(scan(&bytes, 1).is_err(), unfragmented.is_err());
     }
 }
 
 #[rstest]
-fn what_is_written_ends_where_it_should() {
+fn written_error_contains_no_line_end_and_bulk_string_keeps_its_own() {
     let mut out = Vec::new();
     write_error(&mut out, "ERR two\r\nlines");
     write_bulk_string(&mut out, b"a\r\n");
@@ -83,36 +88,41 @@
 }
 
 #[rstest]
-fn a_chunked_answer_is_read_however_it_is_cut(#[values(1, 3, 1000)] step: usize) {
-    let answer = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4;x=1\r\n{\"a\"\r\nc\r\n:1}\n{\"b\":2}\n\r\n0\r\n\r\n";
+fn chunked_response_is_parsed_across_fragments(#[values(1, 3, 1000)] step: usize) {
+    let input = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4;x=1\r\n{\"a\"\r\nc\r\n:1}\n{\"b\":2}\n\r\n0\r\n\r\n";
     let (mut response, mut body) = (ResponseParser::default(), Vec::new());
-    answer.chunks(step).for_each(|part| response.feed(part, &mut body).unwrap());
+    input.chunks(step).for_each(|fragment| response.feed(fragment, &mut body).unwrap());
     assert!(response.is_complete());
     assert_eq!((response.status, &body[..]), (200, &b"{\"a\":1}\n{\"b\":2}\n"[..]));
 }
 
 #[rstest]
-#[case::counted(b"HTTP/1.1 503 No\r\nContent-Length: 2\r\n\r\nno", true, b"no")]
-#[case::to_the_end(b"HTTP/1.1 200 OK\r\n\r\nall", false, b"all")]
-fn other_bodies_are_read_too(#[case] answer: &[u8], #[case] done: bool, #[case] expected: &[u8]) {
+#[case::content_length(b"HTTP/1.1 503 No\r\nContent-Length: 2\r\n\r\nno", true, b"no")]
+#[case::close_delimited(b"HTTP/1.1 200 OK\r\n\r\nall", false, b"all")]
+fn content_length_and_close_delimited_bodies_are_parsed(
+    #[case] input: &[u8], #[case] complete: bool, #[case] expected: &[u8],
+) {
     let (mut response, mut body) = (ResponseParser::default(), Vec::new());
-    response.feed(answer, &mut body).unwrap();
-    assert_eq!((response.is_complete(), response.is_close_delimited(), &body[..]), (done, !done, expected));
+    response.feed(input, &mut body).unwrap();
+    assert_eq!(
+        (response.is_complete(), response.is_close_delimited(), &body[..]),
+        (complete, !complete, expected)
+    );
 }
 
 #[rstest]
-#[case::other(b"SSH-2.0\r\n")]
-#[case::status(b"HTTP/1.1 abc\r\n")]
-#[case::size(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n")]
-#[case::huge(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nffffffffff\r\n")]
-#[case::past_the_end(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\nx")]
-#[case::chunk_longer(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nabc\r\n")]
-fn what_is_no_answer_is_an_error(#[case] bytes: &[u8]) {
+#[case::other_protocol(b"SSH-2.0\r\n")]
+#[case::status_code_not_a_number(b"HTTP/1.1 abc\r\n")]
+#[case::chunk_size_not_a_number(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n")]
+#[case::chunk_size_over_limit(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nffffffffff\r\n")]
+#[case::data_after_the_end(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\nx")]
+#[case::chunk_longer_than_its_size(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nabc\r\n")]
+fn malformed_response_is_an_error(#[case] bytes: &[u8]) {
     assert!(ResponseParser::default().feed(bytes, &mut Vec::new()).is_err());
 }
 
 #[rstest]
-fn lines_are_cut_at_their_ends_and_bounded() {
+fn lines_are_split_at_lf_or_cr_lf_and_limited_in_length() {
     let (mut lines, mut line) = (LineBuffer::new(8), Vec::new());
     lines.feed(b"one\r\n\ntw");
     assert_eq!((lines.next_line(&mut line), line.clone()), (Ok(true), b"one".to_vec()));
@@ -123,10 +133,11 @@
     assert!(lines.next_line(&mut line).is_err());
 }
 
+/// Records the messages that were dispatched.
 #[derive(Default)]
-struct Heard(Vec<String>);
+struct RecordingHandler(Vec<String>);
 
-impl MessageHandler for Heard {
+impl MessageHandler for RecordingHandler {
     fn on_result(&mut self, id: u64, result: &serde_json::Value) {
         self.0.push(format!("{id} {result}"));
     }
@@ -148,28 +159,29 @@
 #[case(r#"{"jsonrpc":"2.0","id":3}"#, Err("neither a result nor an error"))]
 #[case(r#"{"result":1}"#, Err("neither a method nor the id of a call"))]
 #[case("]", Err("not JSON"))]
-fn a_line_of_json_rpc_goes_where_it_belongs(#[case] line: &str, #[case] expected: Result<&str, &str>) {
-    let mut heard = Heard::default();
-    let read = json_rpc::dispatch_message(line.as_bytes(), &mut heard);
-    assert_eq!(read.map(|()| heard.0.concat()), expected.map(str::to_owned));
+fn json_rpc_line_is_dispatched_by_its_kind(#[case] line: &str, #[case] expected: Result<&str, &str>) {
+    let mut handler = RecordingHandler::default();
+    let dispatched = json_rpc::dispatch_message(line.as_bytes(), &mut handler);
+    assert_eq!(dispatched.map(|()| handler.0.concat()), expected.map(str::to_owned));
 }
 
 #[rstest]
-fn a_bulk_string_that_is_not_whole_says_how_long_the_message_must_be() {
-    let bounds =
+fn incomplete_bulk_string_gives_the_required_message_length() {
+    let limits =
         MessageLimits { max_elements: 8, max_bulk_bytes: 100, max_line_bytes: 64, max_message_bytes: 400 };
     let message = b"*2\r\n$4\r\nPING\r\n$50\r\nhalf of it";
-    let mut scanner = Scanner::new(bounds);
-    let seen: Vec<_> = (1..=message.len())
-        .map(|n| {
-            assert_eq!(scanner.scan(&message[..n]), Ok(None));
+    let mut scanner = Scanner::new(limits);
+    let required_lengths: Vec<_> = (1..=message.len())
+        .map(|received| {
+            assert_eq!(scanner.scan(&message[..received]), Ok(None));
             scanner.required_length()
         })
         .collect();
-    // Known once its header is in: first the word, behind which more comes, then the last part.
-    assert_eq!(seen[7], Some((14, false)));
-    assert_eq!(seen[13], None);
-    assert_eq!(seen.last(), Some(&Some((14 + 5 + 50 + 2, true))));
+    // The length is known once the header of a bulk string has arrived: first that of `PING`, which an element
+    // follows, then that of the last element.
+    assert_eq!(required_lengths[7], Some((14, false)));
+    assert_eq!(required_lengths[13], None);
+    assert_eq!(required_lengths.last(), Some(&Some((14 + 5 + 50 + 2, true))));
     scanner.reset();
     assert_eq!(scanner.required_length(), None);
 }
