--- a/crates/capture/src/lib.rs
+++ b/crates/capture/src/lib.rs
@@ -1,5 +1,5 @@
-//! Traffic out of capture files, without I/O.
+//! Processing of captured traffic, without I/O.
 //!
-//! - [`half`]: one direction of a TCP connection, put together from its segments.
+//! - [`reassembly`]: reassembly of one direction of a TCP connection from its segments.
 
-pub mod half;
+pub mod reassembly;
