--- a/crates/capture/tests/reassembly.rs
+++ b/crates/capture/tests/reassembly.rs
@@ -36,15 +36,17 @@
         let mut start = 0;
         while start < text.len() {
             let end = (start + 1 + (order as usize + start * 7) % 23).min(text.len());
-            let sequence = initial_sequence.wrapping_add(1 + start as u32);
-            segments.push((sequence, text[start..end].to_vec(), end == text.len()));
+            segments.push((
+                initial_sequence.wrapping_add(1 + start as u32), text[start..end].to_vec(), end == text.len(),
+            ));
             start = end;
         }
         for (start, length) in overlaps {
             let start = start.index(text.len());
             let end = (start + length).min(text.len());
-            let sequence = initial_sequence.wrapping_add(1 + start as u32);
-            segments.push((sequence, text[start..end].to_vec(), end == text.len()));
+            segments.push((
+                initial_sequence.wrapping_add(1 + start as u32), text[start..end].to_vec(), end == text.len(),
+            ));
         }
         let mut random_state = order;
         for index in (1..segments.len()).rev() {
