--- a/crates/lab/src/checker.rs
+++ b/crates/lab/src/checker.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
-use stonescale::terms::Effect;
+use stonescale::settings::Effect;
 use stonescale::time::{Span, Time};
 
 /// Bounds of the rules, as the settings and the protocol page state them; each limit on sockets is 50 ms longer.
@@ -37,7 +37,7 @@
 impl Cold {
     /// Part of its capacity that a node has, so long after its start.
     fn ramp(&self, age: Span) -> f64 {
-        (self.from + (1.0 - self.from) * age.over(self.span)).min(1.0)
+        (self.from + (1.0 - self.from) * age.ratio_to(self.span)).min(1.0)
     }
 }
 
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -16,7 +16,7 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
-use stonescale::terms::Effect;
+use stonescale::settings::Effect;
 use stonescale::time::Span;
 
 /// What a kind of hit is and how much of the traffic it makes.
--- a/crates/lab/src/site.rs
+++ b/crates/lab/src/site.rs
@@ -3,7 +3,7 @@
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 use std::time::Duration;
-use stonescale::terms::{Effect, Scope};
+use stonescale::settings::{DedupScope, Effect};
 use stonescale::time::Span;
 
 /// A path group as its hits are sent.
@@ -24,7 +24,8 @@
 
 /// One path group of each kind, by their constants.
 pub fn groups() -> Vec<Group> {
-    let tagged = Effect::Tagged { scope: Scope::All, memory: Span::millis(MEMORY.as_millis() as u64) };
+    let tagged =
+        Effect::Tagged { scope: DedupScope::All, dedup_window: Span::millis(MEMORY.as_millis() as u64) };
     let group = |name, effect, benefit| Group { name, effect, target: Duration::from_millis(400), benefit };
     vec![
         group("read", Effect::Repeatable, 1.0),
--- a/crates/lab/src/soak.rs
+++ b/crates/lab/src/soak.rs
@@ -295,7 +295,7 @@
             let node =
                 &self.world.nodes[(within.as_nanos() / each.as_nanos().max(1)) as usize % nodes as usize];
             node.restart();
-            let now_ms = self.world.stage.clock.now() - stonescale::state::LONG_AGO;
+            let now_ms = self.world.stage.clock.now() - stonescale::state::EPOCH;
             let ids = [node.name.clone()];
             self.world.discovery.change(&ids, |e| e.started_ms = now_ms.as_nanos() / 1_000_000);
         }
--- a/crates/lab/src/world.rs
+++ b/crates/lab/src/world.rs
@@ -81,7 +81,7 @@
 
     /// Starts so many nodes of a build, cold, and lists them; returns their names.
     pub fn add(&mut self, many: usize, build: u16, manner: &Manner) -> Vec<String> {
-        let now_ms = self.stage.clock.now() - stonescale::state::LONG_AGO;
+        let now_ms = self.stage.clock.now() - stonescale::state::EPOCH;
         let now_ms = now_ms.as_nanos() / 1_000_000;
         let first = self.started;
         self.started += many;
--- a/crates/lab/tests/books.rs
+++ b/crates/lab/tests/books.rs
@@ -3,7 +3,7 @@
 use proptest::prelude::*;
 use rstest::rstest;
 use std::time::Duration;
-use stonescale::terms::{Effect, Scope};
+use stonescale::settings::{DedupScope, Effect};
 use stonescale::time::{Span, Time};
 use stonescale_lab::checker::{Asked, Bounds, Checker, Outcome};
 use stonescale_lab::faults::{ALL, Timetable};
@@ -33,7 +33,7 @@
 
 const READ: Effect = Effect::Repeatable;
 const BOOK: Effect = Effect::Mutating;
-const TAGGED: Effect = Effect::Tagged { scope: Scope::All, memory: Span::millis(1_000) };
+const TAGGED: Effect = Effect::Tagged { scope: DedupScope::All, dedup_window: Span::millis(1_000) };
 
 type Play = fn(&mut Checker);
 
--- a/crates/marshal/src/clients.rs
+++ b/crates/marshal/src/clients.rs
@@ -12,7 +12,7 @@
 use std::net::{Shutdown, TcpListener, TcpStream};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use stonescale::policy::come_back;
+use stonescale::policy::retry_after;
 use stonescale::time::Span;
 use stonescale_budget::buffer::LEAST;
 use stonescale_budget::plan::{CLIENT, HIT};
@@ -267,7 +267,7 @@
     }
 
     fn bounced(&self, group: usize) -> Vec<u8> {
-        command::bounced(come_back(self.names.groups[group].target, self.names.retry_in))
+        command::bounced(retry_after(self.names.groups[group].target, self.names.retry_in))
     }
 
     /// Says why a connection is read no more; it is closed once that and all before it is answered.
--- a/crates/marshal/src/command.rs
+++ b/crates/marshal/src/command.rs
@@ -1,7 +1,7 @@
 //! Commands of clients: what a whole one asks for, and how it is passed on.
 
 use std::ops::Range;
-use stonescale::terms::Effect;
+use stonescale::settings::Effect;
 use stonescale::time::Span;
 use stonescale_budget::buffer::Block;
 use stonescale_formats::resp::{self, Bounds, Part};
--- a/crates/marshal/src/core.rs
+++ b/crates/marshal/src/core.rs
@@ -13,7 +13,7 @@
 use futures_lite::future::{or, yield_now};
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
-use stonescale::host::{Fate, Host, Listing, Verdict, Why};
+use stonescale::host::{ForwardOutcome, GiveUpReason, Host, ListUpdate, Verdict};
 use stonescale::policy::Marshal;
 use stonescale::state::Timer;
 use stonescale::time::{Span, Time};
@@ -185,7 +185,7 @@
         self.answer(hit, || command::bounced(retry_in));
     }
 
-    fn gives_up(&mut self, hit: u32, why: Why) {
+    fn report_give_up(&mut self, hit: u32, why: GiveUpReason) {
         if let Some(open) = self.hits.get(hit) {
             trace!("hit {} given up: {why:?}, {} forwards", open.command.id(), open.forwards.len());
         }
@@ -212,13 +212,13 @@
         self.discovery.fetch();
     }
 
-    fn wake(&mut self, wait: Span, token: u64) {
+    fn set_timer(&mut self, wait: Span, token: u64) {
         let set = self.due.set(self.now + wait, Due::Token(token));
         match Timer::from(token) {
-            Timer::Ends(hit) => self.hits.get_mut(hit).map(|open| open.ends = Some(set)),
+            Timer::Deadline(hit) => self.hits.get_mut(hit).map(|open| open.ends = Some(set)),
             // One that stood for an earlier forward comes due by itself, and finds that ended.
-            Timer::Copy(hit, _) => self.hits.get_mut(hit).map(|open| open.copy = Some(set)),
-            Timer::Look | Timer::Ask => None,
+            Timer::Hedge(hit, _) => self.hits.get_mut(hit).map(|open| open.copy = Some(set)),
+            Timer::Evaluate | Timer::RequestList => None,
         };
     }
 
@@ -274,7 +274,7 @@
         self.doors.now = now;
         while let Some((_, due)) = self.doors.due.pop(now) {
             match due {
-                Due::Token(token) => self.marshal.woken(&mut self.doors, now, token),
+                Due::Token(token) => self.marshal.on_timer(&mut self.doors, now, token),
                 Due::Forward(hit, hop) => self.doors.give_up(hit, hop, Ending::WaitedOut),
                 Due::Sweep => {
                     let short = self.doors.ledger.reclaim(Purpose::Nodes) == Reclaim::Gone;
@@ -306,26 +306,28 @@
         let now = self.doors.now;
         match news {
             News::Listed(how, entries, _charge) => self.listed(how, entries),
-            News::ListFailed => self.marshal.told_list_failed(&mut self.doors, now),
+            News::ListFailed => self.marshal.on_list_failed(&mut self.doors, now),
             News::Stage(stage, vote) => self.staged(stage, vote),
             News::Flagged { node, group, age } => match self.doors.ids.get(&node) {
-                Some((at, _)) => self.marshal.flagged(now, *at as u64, group, age),
+                Some((at, _)) => self.marshal.on_wrong_answer_report(now, *at as u64, group, age),
                 None => warn!("a complaint about an unknown node is skipped"),
             },
             News::Moved(discovery, platform) => {
                 discovery.into_iter().for_each(|addr| self.doors.discovery.at(addr));
                 platform.into_iter().for_each(|addr| self.doors.platform.at(addr));
             }
-            News::Sums(build, group, n, failed) => self.marshal.told_sums(now, (build, group), (n, failed)),
+            News::Sums(build, group, n, failed) => {
+                self.marshal.on_platform_counts(now, (build, group), (n, failed))
+            }
         }
     }
 
-    pub fn listed(&mut self, how: Listing, entries: Vec<Entry>) {
+    pub fn listed(&mut self, how: ListUpdate, entries: Vec<Entry>) {
         debug!("list: {how:?}, {} entries", entries.len());
         let now = self.doors.now;
         let (mut named, mut left_out) = (HashSet::new(), 0);
         self.doors.swept = false;
-        self.marshal.told_list_opens(now, how);
+        self.marshal.on_list_begin(now, how);
         for (id, addr, place, readiness, build, started) in entries {
             let Some(at) = self.doors.number(id) else {
                 // One that is not known gets no forwards: nothing is missed with it.
@@ -334,21 +336,21 @@
             };
             named.insert(at);
             self.doors.nodes.listed(at, addr, readiness, started);
-            self.marshal.told_list_entry(at as u64, place, readiness, build, started);
+            self.marshal.on_list_entry(at as u64, place, readiness, build, started);
         }
         if left_out > 0 {
             warn!("{left_out} nodes of the list are left out: there is no room for their records");
         }
-        if how != Listing::Delta {
+        if how != ListUpdate::Delta {
             self.doors.nodes.keep_only(&named);
         }
-        self.marshal.told_list_closes(&mut self.doors);
+        self.marshal.on_list_end(&mut self.doors);
     }
 
-    pub fn staged(&mut self, (build, stage, standing, cap, age): Stage, vote: Option<Fate>) {
+    pub fn staged(&mut self, (build, stage, standing, cap, age): Stage, vote: Option<ForwardOutcome>) {
         debug!("platform: build {build}, stage {stage}, {standing:?}, cap {cap}, vote {vote:?}");
         let now = self.doors.now;
-        self.marshal.told_stage(&mut self.doors, now, (build, stage), standing, cap, age, vote);
+        self.marshal.on_stage(&mut self.doors, now, (build, stage), standing, cap, age, vote);
     }
 
     fn arrived(&mut self, Arrival { client, place, command, came }: Arrival) {
@@ -371,7 +373,7 @@
         let (bound, answered, ends, copy) = (client.clone(), false, None, None);
         let hit = self.doors.hits.enter(Open { client, place, command, answered, forwards, ends, copy });
         bound.bind(place, hit);
-        self.marshal.taken(&mut self.doors, now, hit, (group, tenant), key, patience, None);
+        self.marshal.on_hit(&mut self.doors, now, hit, (group, tenant), key, patience, None);
     }
 
     fn ended(&mut self, hit: u32, hop: u8, ending: Ending, sent: bool, value: Option<Block>) {
@@ -393,7 +395,7 @@
             open.client.answer(open.place, Answer::Value(value));
         }
         let last = open.answered;
-        self.marshal.completed(&mut self.doors, now, (hit, hop), fate, last, latency);
+        self.marshal.on_forward_completed(&mut self.doors, now, (hit, hop), fate, last, latency);
         self.doors.release(hit);
     }
 
@@ -402,7 +404,7 @@
         if let Some(open) = self.doors.hits.get_mut(hit) {
             open.answered = true;
             trace!("hit {}: its client left", open.command.id());
-            self.marshal.client_left(&mut self.doors, now, hit);
+            self.marshal.on_client_left(&mut self.doors, now, hit);
             self.doors.release(hit);
         }
     }
--- a/crates/marshal/src/discovery.rs
+++ b/crates/marshal/src/discovery.rs
@@ -12,7 +12,7 @@
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use stonescale::host::{Listing, Place, Readiness};
+use stonescale::host::{ListUpdate, NodeAttributes, Readiness};
 use stonescale::time::Time;
 use stonescale_budget::{Ledger, Purpose};
 use stonescale_formats::chunked::Response;
@@ -68,7 +68,7 @@
             other => return Err(format!("state '{other}' is unknown")),
         };
         // A place of an unknown name is like no other.
-        let place = Place {
+        let place = NodeAttributes {
             zone: at(&self.zones, &told.zone).and_then(|at| u8::try_from(at).ok()).unwrap_or(u8::MAX),
             kind: at(&self.kinds, &told.kind).unwrap_or(self.kinds.len()) as u16,
             cell: told.cell.unwrap_or(0.0) as u16,
@@ -265,7 +265,11 @@
             drop(self.before.take());
         }
         self.version.set(Some(version));
-        self.inbox.news(News::Listed(if full { Listing::Full } else { Listing::Delta }, entries, charge));
+        self.inbox.news(News::Listed(
+            if full { ListUpdate::Full } else { ListUpdate::Delta },
+            entries,
+            charge,
+        ));
         Ok(())
     }
 }
--- a/crates/marshal/src/endings.rs
+++ b/crates/marshal/src/endings.rs
@@ -1,7 +1,7 @@
 //! Every way in which a forward's connection can end it, and what that means to the module.
 
 use std::io::{Error, ErrorKind};
-use stonescale::host::Fate;
+use stonescale::host::ForwardOutcome;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
@@ -51,18 +51,18 @@
     }
 
     /// The protocol page's table; `sent` tells whether the forward's last byte had been written.
-    pub fn fate(self, sent: bool) -> Fate {
+    pub fn fate(self, sent: bool) -> ForwardOutcome {
         match (self, sent) {
-            (Ending::Served, _) => Fate::Ok,
-            (Ending::SaidFailed, _) => Fate::Error,
-            (Ending::SaidBusy, _) => Fate::Rejected,
-            (Ending::WaitedOut, true) => Fate::TimedOut,
-            (Ending::CalledOff, true) => Fate::Cancelled,
+            (Ending::Served, _) => ForwardOutcome::Ok,
+            (Ending::SaidFailed, _) => ForwardOutcome::Error,
+            (Ending::SaidBusy, _) => ForwardOutcome::Rejected,
+            (Ending::WaitedOut, true) => ForwardOutcome::TimedOut,
+            (Ending::CalledOff, true) => ForwardOutcome::Cancelled,
             (Ending::CalledOff | Ending::Withdrawn | Ending::NoSuchNode | Ending::NoSocket, false) => {
-                Fate::Unsent
+                ForwardOutcome::Unsent
             }
-            (_, false) => Fate::Unreached,
-            (_, true) => Fate::Reset,
+            (_, false) => ForwardOutcome::Unreached,
+            (_, true) => ForwardOutcome::Reset,
         }
     }
 }
--- a/crates/marshal/src/inbox.rs
+++ b/crates/marshal/src/inbox.rs
@@ -9,23 +9,23 @@
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use std::rc::Rc;
-use stonescale::host::{Fate, Listing, Place, Readiness, Standing};
+use stonescale::host::{BuildStatus, ForwardOutcome, ListUpdate, NodeAttributes, Readiness};
 use stonescale::time::{Span, Time};
 use stonescale_budget::Charge;
 use stonescale_budget::buffer::Block;
 
 /// An entry of the node list: id, address, place, readiness, build and listed start.
-pub type Entry = (String, SocketAddr, Place, Readiness, u16, Time);
+pub type Entry = (String, SocketAddr, NodeAttributes, Readiness, u16, Time);
 
 /// Build, stage, standing, cap, and for how long it has stood so.
-pub type Stage = (u16, u8, Standing, f64, Span);
+pub type Stage = (u16, u8, BuildStatus, f64, Span);
 
 pub enum News {
     /// With what the entries are charged to.
-    Listed(Listing, Vec<Entry>, Charge),
+    Listed(ListUpdate, Vec<Entry>, Charge),
     ListFailed,
     /// Where the newest build stands; as the answer to a vote, how that ended.
-    Stage(Stage, Option<Fate>),
+    Stage(Stage, Option<ForwardOutcome>),
     Flagged {
         node: String,
         group: usize,
--- a/crates/marshal/src/platform.rs
+++ b/crates/marshal/src/platform.rs
@@ -14,7 +14,7 @@
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use stonescale::host::{Fate, Standing, Verdict};
+use stonescale::host::{BuildStatus, ForwardOutcome, Verdict};
 use stonescale::time::Span;
 use stonescale_budget::{Buffer, Ledger, Purpose};
 use stonescale_formats::lines::Lines;
@@ -81,13 +81,13 @@
     let build = Some(number("build")?).filter(|b| (0.0..65536.0).contains(b)).ok_or("build is no build")?;
     let stage = Some(number("stage")?).filter(|s| (0.0..256.0).contains(s)).ok_or("stage is no stage")?;
     let standing = match told.get("phase").and_then(Value::as_str).ok_or("phase is not a text")? {
-        "testing" => Standing::OnTrial,
-        "recalling" => Standing::GoingBack,
-        "live" => Standing::Released,
-        "recalled" => Standing::Withdrawn,
+        "testing" => BuildStatus::OnTrial,
+        "recalling" => BuildStatus::GoingBack,
+        "live" => BuildStatus::Released,
+        "recalled" => BuildStatus::Withdrawn,
         other => return Err(format!("phase '{other}' is unknown")),
     };
-    let age = Span::of_seconds(number("age_ms")?.max(0.0) / 1e3);
+    let age = Span::from_seconds(number("age_ms")?.max(0.0) / 1e3);
     Ok((build as u16, stage as u8, standing, number("cap")?.clamp(0.0, 1.0), age))
 }
 
@@ -139,8 +139,8 @@
     }
 
     /// Tells the module how a vote without a usable answer ended.
-    fn failed(&self, fate: Fate) {
-        let none = (0, 0, Standing::Withdrawn, 0.0, Span::ZERO);
+    fn failed(&self, fate: ForwardOutcome) {
+        let none = (0, 0, BuildStatus::Withdrawn, 0.0, Span::ZERO);
         self.inbox.news(News::Stage(none, Some(fate)));
     }
 
@@ -162,7 +162,7 @@
                 lost += usize::from(written);
                 !written
             });
-            (0..lost).for_each(|_| self.failed(Fate::TimedOut));
+            (0..lost).for_each(|_| self.failed(ForwardOutcome::TimedOut));
             if !self.newest(&post) {
                 break;
             }
@@ -208,7 +208,11 @@
         self.calls.borrow_mut().retain(|call| {
             let over = call.due <= now && call.concerns(post);
             if over {
-                ended.push(if call.written(post, line) { Fate::TimedOut } else { Fate::Unreached });
+                ended.push(if call.written(post, line) {
+                    ForwardOutcome::TimedOut
+                } else {
+                    ForwardOutcome::Unreached
+                });
             }
             !over
         });
@@ -339,9 +343,9 @@
             return;
         }
         match stage(result) {
-            Ok(stage) => self.platform.inbox.news(News::Stage(stage, Some(Fate::Ok))),
+            Ok(stage) => self.platform.inbox.news(News::Stage(stage, Some(ForwardOutcome::Ok))),
             Err(why) => {
-                self.platform.failed(Fate::TimedOut);
+                self.platform.failed(ForwardOutcome::TimedOut);
                 self.unread = Some(why);
             }
         }
@@ -352,9 +356,9 @@
             warn!("platform: not subscribed: {message}");
         } else if self.answered(id) {
             self.platform.failed(match message {
-                "Throttling" => Fate::Rejected,
-                "ConditionFailed" => Fate::Unsent,
-                _ => Fate::Error,
+                "Throttling" => ForwardOutcome::Rejected,
+                "ConditionFailed" => ForwardOutcome::Unsent,
+                _ => ForwardOutcome::Error,
             });
         }
     }
@@ -382,7 +386,7 @@
                 Err(why) => self.unread = Some(why),
             },
             "complaint" => {
-                let age = number("age_ms").map(|ms| Span::of_seconds(ms.max(0.0) / 1e3));
+                let age = number("age_ms").map(|ms| Span::from_seconds(ms.max(0.0) / 1e3));
                 match (text("server"), group(), age) {
                     (Some(node), Some(group), Some(age)) => {
                         self.platform.inbox.news(News::Flagged { node: node.to_owned(), group, age });
--- a/crates/marshal/src/serve.rs
+++ b/crates/marshal/src/serve.rs
@@ -23,7 +23,7 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use stonescale::host::{Host, Listing};
+use stonescale::host::{Host, ListUpdate};
 use stonescale::time::Span;
 use stonescale_budget::{Ledger, Plan, Purpose};
 use stonescale_operator::{InForce, Operator};
@@ -149,7 +149,7 @@
     }
     let mut core = Core::new(marshal, doors);
     core.staged(news, None);
-    core.listed(Listing::Cached, entries);
+    core.listed(ListUpdate::Cached, entries);
     tasks.spawn(core.run()).detach();
     let report_every = Rc::new(Cell::new(operator.memory.report_every));
     let log = Rc::new(log);
@@ -291,6 +291,6 @@
     fn vote(&mut self, _: u16, _: u8, _: stonescale::host::Verdict) {}
     fn watch(&mut self, _: bool) {}
     fn fetch(&mut self) {}
-    fn wake(&mut self, _: stonescale::time::Span, _: u64) {}
+    fn set_timer(&mut self, _: stonescale::time::Span, _: u64) {}
     fn log(&mut self, _: &str) {}
 }
--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 use std::io::{self, BufReader, BufWriter, Read, Write};
 use std::process::ExitCode;
-use stonescale::host::{Fate, Listing, Place, Readiness, Standing};
+use stonescale::host::{BuildStatus, ForwardOutcome, ListUpdate, NodeAttributes, Readiness};
 use stonescale::policy::Marshal;
 use stonescale::time::{Span, Time};
 use stonescale_site as site;
@@ -49,16 +49,16 @@
     Ok(())
 }
 
-fn fate(code: u16) -> Option<Fate> {
+fn fate(code: u16) -> Option<ForwardOutcome> {
     Some(match code {
-        0 => Fate::Error,
-        1 => Fate::Ok,
-        2 => Fate::Rejected,
-        3 => Fate::TimedOut,
-        4 => Fate::Unreached,
-        5 => Fate::Reset,
-        6 => Fate::Cancelled,
-        7 => Fate::Unsent,
+        0 => ForwardOutcome::Error,
+        1 => ForwardOutcome::Ok,
+        2 => ForwardOutcome::Rejected,
+        3 => ForwardOutcome::TimedOut,
+        4 => ForwardOutcome::Unreached,
+        5 => ForwardOutcome::Reset,
+        6 => ForwardOutcome::Cancelled,
+        7 => ForwardOutcome::Unsent,
         _ => return None,
     })
 }
@@ -116,20 +116,20 @@
                 let build = f.u16("build")?;
                 let stage = f.u8("ring")?;
                 let standing = match f.u8("standing")? {
-                    0 => Standing::OnTrial,
-                    1 => Standing::GoingBack,
-                    2 => Standing::Released,
-                    _ => Standing::Withdrawn,
+                    0 => BuildStatus::OnTrial,
+                    1 => BuildStatus::GoingBack,
+                    2 => BuildStatus::Released,
+                    _ => BuildStatus::Withdrawn,
                 };
                 let asked = f.u8("mark")? == 1;
                 let answer = f.u16("disposition")?;
                 let cap = f64::from(f.f32("limit_share")?);
                 let age = Span::nanos(f.u64("lateness_ns")?);
                 let vote = if asked { fate(answer) } else { None };
-                marshal.told_stage(reply, now, (build, stage), standing, cap, age, vote);
+                marshal.on_stage(reply, now, (build, stage), standing, cap, age, vote);
             }
             1040 => self.list(number, f, now, reply)?,
-            1060 => marshal.woken(reply, now, f.u64("name")?),
+            1060 => marshal.on_timer(reply, now, f.u64("name")?),
             1070 => {
                 let id = f.u32("req")?;
                 let group = usize::from(f.u8("class")?);
@@ -139,7 +139,7 @@
                 let hint = Span::nanos(f.u64("work_hint_ns")?);
                 let bits = f.u16("state_bits")?;
                 let work = (bits & 1 != 0).then_some(hint);
-                marshal.taken(reply, now, id, (group, tenant), key, grace, work);
+                marshal.on_hit(reply, now, id, (group, tenant), key, grace, work);
             }
             1080 => {
                 let n = f.u32("n")?;
@@ -148,7 +148,7 @@
                 f.u64("latency_ns")?;
                 let group = usize::from(f.u8("class")?);
                 let bad = f.u32("bad")?;
-                marshal.told_sums(now, (build, group), (n, bad));
+                marshal.on_platform_counts(now, (build, group), (n, bad));
             }
             1090 => {
                 let id = f.u32("req")?;
@@ -159,18 +159,18 @@
                 let answer = f.u16("disposition")?;
                 match fate(answer) {
                     Some(end) => {
-                        marshal.completed(reply, now, (id, hop), end, last, latency);
+                        marshal.on_forward_completed(reply, now, (id, hop), end, last, latency);
                     }
                     None => {
                         eprintln!("stonescale-simhost: completed: disposition: {answer} unknown, ignored")
                     }
                 }
             }
-            1110 => marshal.client_left(reply, now, f.u32("req")?),
+            1110 => marshal.on_client_left(reply, now, f.u32("req")?),
             1130 => {
                 let group = usize::from(f.u8("class")?);
                 let age = Span::nanos(f.u64("lateness_ns")?);
-                marshal.flagged(now, f.node("node")?, group, age);
+                marshal.on_wrong_answer_report(now, f.node("node")?, group, age);
             }
             // Streams and peer talk play no part here.
             _ => {}
@@ -181,11 +181,11 @@
     fn list(&mut self, number: u32, mut f: Fields, now: Time, reply: &mut Reply) -> Result<(), String> {
         let Some(marshal) = self.marshals.get_mut(&number) else { return Ok(()) };
         let how = match f.u8("how")? {
-            0 => Listing::Delta,
-            1 => Listing::Full,
-            2 => Listing::Cached,
+            0 => ListUpdate::Delta,
+            1 => ListUpdate::Full,
+            2 => ListUpdate::Cached,
             _ => {
-                marshal.told_list_failed(reply, now);
+                marshal.on_list_failed(reply, now);
                 return Ok(());
             }
         };
@@ -195,7 +195,7 @@
             eprintln!("stonescale-simhost: sync: bank: no directory {bank} was sent, ignored");
             return Ok(());
         };
-        marshal.told_list_opens(now, how);
+        marshal.on_list_begin(now, how);
         for row in rows.chunks_exact(ROW) {
             let mut entry = Fields::new(row);
             entry.named("directory entry");
@@ -211,9 +211,9 @@
             let weight = entry.f32("weight")?;
             let build = entry.f32("edition")? as u16;
             let started = Time::at(entry.u64("ready_at_ns")?);
-            marshal.told_list_entry(id, Place { zone, kind, cell, weight }, readiness, build, started);
+            marshal.on_list_entry(id, NodeAttributes { zone, kind, cell, weight }, readiness, build, started);
         }
-        marshal.told_list_closes(reply);
+        marshal.on_list_end(reply);
         Ok(())
     }
 }
--- a/crates/simhost/src/reply.rs
+++ b/crates/simhost/src/reply.rs
@@ -77,7 +77,7 @@
         self.record(1110, &[]);
     }
 
-    fn wake(&mut self, wait: Span, token: u64) {
+    fn set_timer(&mut self, wait: Span, token: u64) {
         let wait = wait.min(LONGEST_WAIT).as_nanos();
         self.record(1040, &[&wait.to_le_bytes(), &token.to_le_bytes()]);
     }
--- a/crates/site/src/lib.rs
+++ b/crates/site/src/lib.rs
@@ -4,8 +4,9 @@
 use serde_json::Value;
 use stonescale::host::Host;
 use stonescale::policy::Marshal;
-use stonescale::terms::{
-    Ballot, Control, Effect, Handling, Listed, PathGroup, Scope, Tenancy, Trial, WarmUp,
+use stonescale::settings::{
+    DedupScope, Effect, ExposureLimits, NodeListSettings, PathGroup, SiteLimits, StageControl, Tenancy,
+    VotingRules, WarmUp,
 };
 use stonescale::time::{Span, Time};
 
@@ -62,19 +63,19 @@
         "fragile" => Effect::Mutating,
         "dedup" => Effect::Tagged {
             scope: match told.word("dedup_scope")? {
-                "all" => Scope::All,
-                "zone" => Scope::Zone,
-                "cell" => Scope::Cell,
+                "all" => DedupScope::All,
+                "zone" => DedupScope::Zone,
+                "cell" => DedupScope::Cell,
                 other => return Err(format!("{place}dedup_scope: '{other}' is unknown")),
             },
-            memory: told.span("memory_span_ns")?,
+            dedup_window: told.span("memory_span_ns")?,
         },
         other => return Err(format!("{place}effect: '{other}' is unknown")),
     };
     Ok(PathGroup {
         effect,
-        target: told.span("aim_ns")?,
-        stretch: told.number_or_none("aim_stretch")?,
+        target_latency: told.span("aim_ns")?,
+        target_stretch: told.number_or_none("aim_stretch")?,
         timeout: told.span("deadline_ns")?,
         late_benefit: told.number_or_none("late_share")?,
         // Where nothing is said, a path group is worth what one is.
@@ -110,46 +111,46 @@
         caps.push(value.as_f64().ok_or_else(|| rollout.wrong("most_shares", "a list of numbers"))?);
     }
 
-    let tenancy = Tenancy { shares, over_share: top.number_or_none("over_share_worth")? };
-    let handling = Handling {
-        forwards: limits.number("attempts_cap")? as usize,
-        second_copies: limits.flag("second_copies")?,
-        cancelling: limits.flag("cancelling")?,
-        retry_in: retry_in(&limits)?,
+    let tenancy = Tenancy { shares, over_share_factor: top.number_or_none("over_share_worth")? };
+    let handling = SiteLimits {
+        max_forwards: limits.number("attempts_cap")? as usize,
+        hedging: limits.flag("second_copies")?,
+        cancellation: limits.flag("cancelling")?,
+        max_retry_after: retry_in(&limits)?,
         tick: top.span("tick_ns")?,
     };
-    let trial = Trial {
+    let trial = ExposureLimits {
         allowance: rollout.number("allowance")?,
-        by_group: rollout.word("counts")? == "each_class",
-        closed_stages: rollout.number_or_none("closed_stages")? as u8,
-        no_return: rollout.flag("no_return")?,
-        caps,
+        per_group: rollout.word("counts")? == "each_class",
+        repeatable_only_stages: rollout.number_or_none("closed_stages")? as u8,
+        sticky_keys: rollout.flag("no_return")?,
+        stage_caps: caps,
     };
     let clock = rollout.word("gate_mode")? == "automatic";
     let on = rollout.number_or_none(if clock { "votes_to_hold" } else { "to_advance" })?;
-    let ballot = Ballot {
-        me: top.number("me")? as usize,
-        marshals: top.number("siblings")? as usize,
-        control: if clock { Control::Clock } else { Control::Votes },
-        holds: if clock { on as usize } else { 0 },
-        needed: on.max(rollout.number_or_none("noes_needed")?) as usize,
-        stands: rollout.span("vote_stands_ns")?,
+    let ballot = VotingRules {
+        marshal_index: top.number("me")? as usize,
+        marshal_count: top.number("siblings")? as usize,
+        control: if clock { StageControl::Clock } else { StageControl::Votes },
+        holds_needed: if clock { on as usize } else { 0 },
+        votes_needed: on.max(rollout.number_or_none("noes_needed")?) as usize,
+        vote_lifetime: rollout.span("vote_stands_ns")?,
         call_timeout: rollout.span("call_timeout_ns")?,
         calls_per_s: rollout.number("calls_per_s")?,
-        reported: rollout.number_or_none("reported_share")?,
+        reported_share: rollout.number_or_none("reported_share")?,
     };
-    let listed = Listed {
-        me: ballot.me,
+    let listed = NodeListSettings {
+        marshal_index: ballot.marshal_index,
         zone: top.number_or_none("zone")? as u8,
-        crossing: prices.number_or_none("cross_zone")?,
-        asked: top.word("membership_mode")? == "ask",
-        ask_within: rules.span("ask_within_ns")?,
-        beside: rollout.find("layout").and_then(Value::as_str) == Some("parallel"),
+        cross_zone_cost: prices.number_or_none("cross_zone")?,
+        on_request: top.word("membership_mode")? == "ask",
+        max_request_interval: rules.span("ask_within_ns")?,
+        parallel_layout: rollout.find("layout").and_then(Value::as_str) == Some("parallel"),
     };
     let warm_up = WarmUp {
-        from: rules.number("cold_from")?,
-        span: rules.span("warm_up_ns")?,
-        multiple: rules.number("fall_multiple")?,
+        initial_share: rules.number("cold_from")?,
+        duration: rules.span("warm_up_ns")?,
+        overload_multiple: rules.number("fall_multiple")?,
     };
     Ok(Marshal::new(host, now, seed, (groups, tenancy, handling), trial, ballot, (listed, warm_up)))
 }
@@ -181,7 +182,7 @@
     let (mut groups, mut tenants) = (Vec::new(), Vec::new());
     for (at, value) in top.list("classes")?.iter().enumerate() {
         let place = format!("classes[{at}].");
-        let PathGroup { effect, target, .. } = path_group(value, &place)?;
+        let PathGroup { effect, target_latency: target, .. } = path_group(value, &place)?;
         groups.push(Group { name: name(value, &place)?, effect, target });
     }
     if top.find("realms").is_some() {
--- a/src/host.rs
+++ b/src/host.rs
@@ -5,7 +5,7 @@
 
 /// Why a hit was given up, for those who look for the cause of a bounce.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Why {
+pub enum GiveUpReason {
     /// No node was open to it for as long as it may be held.
     NoRoom,
     /// It would not have been answered in time.
@@ -19,15 +19,15 @@
 /// Everything the module can ask for. Hit and node ids are handed back as they came in.
 pub trait Host {
     fn forward(&mut self, hit: u32, node: u64, timeout: Span);
-    fn bounce(&mut self, hit: u32, retry_in: Span);
+    fn bounce(&mut self, hit: u32, retry_after: Span);
     fn error(&mut self, hit: u32);
     /// Says why the bounce or the error that follows was decided.
-    fn gives_up(&mut self, _hit: u32, _why: Why) {}
+    fn report_give_up(&mut self, _hit: u32, _reason: GiveUpReason) {}
     fn cancel(&mut self, hit: u32, hop: u8);
     fn vote(&mut self, build: u16, stage: u8, verdict: Verdict);
     fn watch(&mut self, on: bool);
     fn fetch(&mut self);
-    fn wake(&mut self, wait: Span, token: u64);
+    fn set_timer(&mut self, delay: Span, token: u64);
     fn log(&mut self, text: &str);
 }
 
@@ -42,7 +42,7 @@
 
 /// Where a node stands and what it is, as indices; its weight is a number to set against other nodes'.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Place {
+pub struct NodeAttributes {
     pub zone: u8,
     pub kind: u16,
     pub cell: u16,
@@ -51,7 +51,7 @@
 
 /// How a forward ended. `Rejected`, `Unreached` and `Unsent` prove that it never ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub enum ForwardOutcome {
     Ok,
     Error,
     Rejected,
@@ -70,7 +70,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Listing {
+pub enum ListUpdate {
     Delta,
     Full,
     Cached,
@@ -78,16 +78,16 @@
 
 /// Where a build stands with the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum BuildStatus {
     OnTrial,
     GoingBack,
     Released,
     Withdrawn,
 }
 
-impl Standing {
+impl BuildStatus {
     /// On trial or released: neither taken off nor on its way.
-    pub fn open(self) -> bool {
-        matches!(self, Standing::OnTrial | Standing::Released)
+    pub fn is_active(self) -> bool {
+        matches!(self, BuildStatus::OnTrial | BuildStatus::Released)
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -3,9 +3,9 @@
 
 pub mod host;
 pub mod index;
-pub mod ledger;
+pub mod load_shedding;
+pub mod outcomes;
 pub mod policy;
+pub mod settings;
 pub mod state;
-pub mod terms;
 pub mod time;
-pub mod waits;
--- a/src/waits.rs
+++ b/src/load_shedding.rs
@@ -4,7 +4,7 @@
 //! wait that the least patient path group can stand, as long as that is a real part of the traffic and can be served
 //! in time at all. The least worth is given up first, but no path group for the sake of the others alone.
 
-use crate::terms::PathGroup;
+use crate::settings::PathGroup;
 
 /// Of what the target latency leaves past the usual answer time: what a queue may add to the best hits' answers. With
 /// more, answers that scatter come late as often as not, and so do those of clients that were turned away once, whose
@@ -55,7 +55,7 @@
 impl Waits {
     /// Until learnt, an answer is expected in a quarter of the target latency, and the path groups come alike.
     pub fn of(groups: &[PathGroup]) -> Self {
-        let targets: Vec<f64> = groups.iter().map(|g| g.target.seconds()).collect();
+        let targets: Vec<f64> = groups.iter().map(|g| g.target_latency.seconds()).collect();
         let usual: Vec<f64> = targets.iter().map(|target| target / 4.0).collect();
         let shares = vec![1.0 / groups.len().max(1) as f64; groups.len()];
         Waits {
@@ -146,7 +146,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::terms::Effect;
+    use crate::settings::Effect;
     use crate::time::Span;
     use proptest::prelude::*;
     use rstest::rstest;
@@ -156,8 +156,8 @@
     fn group(target_ms: u64) -> PathGroup {
         PathGroup {
             effect: Effect::Repeatable,
-            target: Span::millis(target_ms),
-            stretch: 0.0,
+            target_latency: Span::millis(target_ms),
+            target_stretch: 0.0,
             timeout: Span::millis(target_ms * 3),
             late_benefit: 0.0,
             benefit: 1.0,
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -1,6 +1,7 @@
-//! All decisions of one marshal. A host owns one `Marshal` and calls one method per event: `told_list_*`,
-//! `told_stage`, `told_sums`, `taken`, `completed`, `flagged`, `client_left`, `woken`. The module
-//! answers through the trait `Host` of `host.rs`. State lies in `state.rs`, settings in `terms.rs`.
+//! All decisions of one marshal. A host owns one `Marshal` and calls one method per event: `on_list_*`,
+//! `on_stage`, `on_platform_counts`, `on_hit`, `on_forward_completed`, `on_wrong_answer_report`,
+//! `on_client_left`, `on_timer`. The module answers through the trait `Host` of `host.rs`. State lies in
+//! `state.rs`, settings in `settings.rs`.
 //!
 //! Ordinary path (the design): the build on trial gets hits up to its cap, the cheapest path groups first;
 //! hashed voters compare its failure-or-slow share with the earlier build's, hold the clock until they have
@@ -14,8 +15,8 @@
 //! 5. Wrong answers: running odds on clients' reports.
 //! 6. Drag: slowness in time, of the newest build, or of the whole fleet in step with its traffic.
 
-use crate::ledger::{Count, by_group, total};
-use crate::{host::*, index::lot, state::*, terms::*, time::Span, time::Time, waits::*};
+use crate::outcomes::{Count, by_group, total};
+use crate::{host::*, index::lot, load_shedding::*, settings::*, state::*, time::Span, time::Time};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -66,16 +67,16 @@
 const COME_BACK: f64 = 0.2; // of the target latency: then a bounced hit may still be answered in time
 /// Keys remembered as answered by the newest build: 57,344 fill a table of 64 Ki places, some 600 KB. Past
 /// it, new keys stay with the earlier build as long as that has nodes: a key forgotten might return.
-pub const MOST_KEYS: usize = (1 << 16) / 8 * 7;
+pub const MAX_ANSWERED_KEYS: usize = (1 << 16) / 8 * 7;
 const ASK_AGAIN: Span = Span::millis(500); // first wait after a failed call for the list, then doubled
 const ASK_LONGEST: f64 = 0.5; // of the time in which the list must be asked
 
 fn fade(since: Span) -> f64 {
-    (-since.over(FORGIVE)).exp()
+    (-since.ratio_to(FORGIVE)).exp()
 }
 
 /// When a bounced client may come back: soon enough to be answered in time, if it obeys so short a wait.
-pub fn come_back(target: Span, longest: Span) -> Span {
+pub fn retry_after(target: Span, longest: Span) -> Span {
     (target * COME_BACK).min(longest)
 }
 
@@ -92,12 +93,12 @@
         let Some(credit) = self.credits.get_mut(tenant) else { return full };
         let within = *credit >= 1.0;
         *credit -= f64::from(within);
-        if within { full } else { full * self.tenancy.over_share }
+        if within { full } else { full * self.tenancy.over_share_factor }
     }
 
     /// Rule 2: may this hit be forwarded to a node at `place` now?
-    fn may_run(&self, hit: &Hit, place: Place, now: Time) -> bool {
-        if hit.forwards.len() >= self.handling.forwards || (hit.out() && !self.handling.second_copies) {
+    fn may_run(&self, hit: &Hit, place: NodeAttributes, now: Time) -> bool {
+        if hit.forwards.len() >= self.handling.max_forwards || (hit.out() && !self.handling.hedging) {
             return false;
         }
         let mut risky = hit.forwards.iter().filter(|f| !f.never_ran());
@@ -105,16 +106,16 @@
             Effect::Repeatable => true,
             Effect::Mutating => risky.next().is_none(),
             // One tick short: the forward takes effect when this batch is answered.
-            Effect::Tagged { scope, memory } => {
-                risky.all(|f| now + self.handling.tick < f.sent + memory && scope.joins(f.place, place))
-            }
+            Effect::Tagged { scope, dedup_window } => risky.all(|f| {
+                now + self.handling.tick < f.sent + dedup_window && scope.same_group(f.place, place)
+            }),
         }
     }
 
     /// Rule 2: may the client be told that trying again is harmless?
     fn may_bounce(&self, hit: &Hit) -> bool {
         match self.groups[hit.group].effect {
-            Effect::Repeatable | Effect::Tagged { scope: Scope::All, .. } => true,
+            Effect::Repeatable | Effect::Tagged { scope: DedupScope::All, .. } => true,
             _ => hit.forwards.iter().all(Forward::never_ran),
         }
     }
@@ -125,18 +126,18 @@
 impl Exposure {
     /// No further key can be remembered.
     fn full(&self) -> bool {
-        self.trial.no_return && self.answered.len() >= MOST_KEYS
+        self.trial.sticky_keys && self.answered.len() >= MAX_ANSWERED_KEYS
     }
 
     fn bucket(&mut self, build: u16, group: usize) -> &mut f64 {
-        let group = if self.trial.by_group { group } else { 0 };
+        let group = if self.trial.per_group { group } else { 0 };
         let (salt, depth) = (self.salt, self.trial.allowance);
         let start = || lot(salt, lot(u64::from(build), group as u64)) as f64 / u64::MAX as f64 * depth;
         self.buckets.entry((build, group)).or_insert_with(start)
     }
 
     fn fill(&mut self, group: usize, cap: impl Fn(u16) -> Option<f64>) {
-        let group = if self.trial.by_group { group } else { 0 };
+        let group = if self.trial.per_group { group } else { 0 };
         for (&(build, counted), bucket) in &mut self.buckets {
             if counted == group {
                 *bucket = (*bucket + cap(build).unwrap_or(0.0)).min(self.trial.allowance);
@@ -154,7 +155,7 @@
     fn trial(&self, build: u16) -> Option<(u8, f64)> {
         match self.told {
             Some((newest, stage, standing, cap, _)) if newest == build => {
-                (standing != Standing::Released).then_some((stage, cap))
+                (standing != BuildStatus::Released).then_some((stage, cap))
             }
             Some((newest, ..)) => (build > newest).then_some((0, self.first_cap)),
             None => None,
@@ -163,13 +164,13 @@
 
     fn rank(&self, build: u16, stage: u8) -> usize {
         let draw = |m: usize| lot(u64::from(build) << 8 | u64::from(stage), m as u64);
-        let mine = draw(self.ballot.me);
-        (0..self.ballot.marshals).filter(|m| draw(*m) < mine).count()
+        let mine = draw(self.ballot.marshal_index);
+        (0..self.ballot.marshal_count).filter(|m| draw(*m) < mine).count()
     }
 
     /// Voters have the lowest lots for a build and stage, three for each vote needed; all draw alike.
     fn voters(&self) -> usize {
-        (VOTERS * self.ballot.needed.max(1)).min(self.ballot.marshals.max(1))
+        (VOTERS * self.ballot.votes_needed.max(1)).min(self.ballot.marshal_count.max(1))
     }
 
     /// So many votes are needed that they tell a bad build from chance together: each marshal then votes on
@@ -177,7 +178,7 @@
     /// 80 needed, 8 are expected by chance, and 20 lie over four deviations off.
     /// May harm: what strikes all marshals, the new build's nodes more than others, and is not the build.
     fn of_many(&self) -> bool {
-        self.ballot.needed as f64 >= ENOUGH
+        self.ballot.votes_needed as f64 >= ENOUGH
     }
 
     /// Clearly exceeded: by 3 and by half again, as if at least 20 outcomes were in, the missing ones good.
@@ -239,7 +240,7 @@
         // One of many meets few nodes of the build: of those the part that looks sick elsewhere.
         let part = (sick * nodes.len()).div_ceil(earlier.len().max(1));
         let spare = if of_many { part } else { usual_spare }.min(nodes.len());
-        let given_up = if self.ballot.needed > VOTERS { spare } else { 0 };
+        let given_up = if self.ballot.votes_needed > VOTERS { spare } else { 0 };
         let sure = 1.0 - given_up as f64 / nodes.len().max(1) as f64;
         let rows = |counts: Vec<Count>, e: &[f64], known: &[Count]| {
             let told = std::iter::zip(e, known).map(|(e, k)| (*e, k.n));
@@ -281,20 +282,21 @@
     /// voted as they please would never be enough. It saves up calls that nobody makes (32 were taken at once
     /// where it takes 16 a second), so all vote back in one span and rest in the next, by the stage's age,
     /// which all know; the holds at a stage's begin come before. May harm: a bad build stays a rest longer.
-    fn in_turn(&self, standing: Standing, age: Span) -> bool {
-        let Ballot { needed, stands, calls_per_s, .. } = self.ballot;
+    fn in_turn(&self, standing: BuildStatus, age: Span) -> bool {
+        let VotingRules { votes_needed: needed, vote_lifetime: stands, calls_per_s, .. } = self.ballot;
         let (turn, round) = (stands * RENEW_OF_MANY, needed as f64 * HOLDERS / calls_per_s.max(1.0));
-        let begin = if standing == Standing::OnTrial { HOLD } else { Span::ZERO };
+        let begin = if standing == BuildStatus::OnTrial { HOLD } else { Span::ZERO };
         let at = (age - begin).seconds().rem_euclid(round);
         !self.of_many() || round <= turn.seconds() || (age >= begin && at < turn.seconds())
     }
 
     fn wanted(&self, enough: bool, now: Time) -> (u16, u8, Verdict) {
-        let stands = self.ballot.stands;
+        let stands = self.ballot.vote_lifetime;
         let Some((build, stage, standing, _, since)) = self.told else { return (0, 0, Verdict::None) };
-        let (clock, age) = (self.ballot.control == Control::Clock, now - since);
+        let (clock, age) = (self.ballot.control == StageControl::Clock, now - since);
         // Few more than needed hold, so that the platform can take their withdrawals in time.
-        let holder = (self.record.rank as f64) < (self.ballot.holds as f64 * HOLDERS).max(VOTERS as f64);
+        let holder =
+            (self.record.rank as f64) < (self.ballot.holds_needed as f64 * HOLDERS).max(VOTERS as f64);
         let verdict = match standing {
             // A stage that moves on draws other voters; who votes back stays.
             _ if self.record.rank >= self.voters() && self.vote.2 != Verdict::Back => Verdict::None,
@@ -302,20 +304,20 @@
             _ if self.of_many() && self.vote == (build, stage, Verdict::Hold) && now - self.cast < stands => {
                 Verdict::Hold
             }
-            _ if standing.open() && now < self.record.back_until && self.in_turn(standing, age) => {
+            _ if standing.is_active() && now < self.record.back_until && self.in_turn(standing, age) => {
                 Verdict::Back
             }
-            Standing::OnTrial if clock && !enough && age < HOLD && holder => Verdict::Hold,
-            Standing::OnTrial if !clock && enough && age >= HOLD => Verdict::On,
+            BuildStatus::OnTrial if clock && !enough && age < HOLD && holder => Verdict::Hold,
+            BuildStatus::OnTrial if !clock && enough && age >= HOLD => Verdict::On,
             _ => Verdict::None,
         };
         (build, stage, verdict)
     }
 
     fn vote(&mut self, host: &mut impl Host, now: Time) {
-        let Ballot { stands, call_timeout, calls_per_s, .. } = self.ballot;
+        let VotingRules { vote_lifetime: stands, call_timeout, calls_per_s, .. } = self.ballot;
         // Each voter keeps to its part of the calls that the platform takes.
-        let mut gap = Span::of_seconds(self.voters() as f64 / calls_per_s.max(1.0));
+        let mut gap = Span::from_seconds(self.voters() as f64 / calls_per_s.max(1.0));
         let (since, mut renew) = (now - self.cast, stands * RENEW);
         self.pending &= since <= call_timeout * 1.5;
         let wanted = self.wanted(self.record.stage_outcomes >= ENOUGH, now);
@@ -323,11 +325,11 @@
         if since >= stands && none {
             self.vote.2 = Verdict::None; // it lapsed by itself: to take it back would cost a call
         }
-        if self.of_many() && self.ballot.control == Control::Clock {
+        if self.of_many() && self.ballot.control == StageControl::Clock {
             // By turns so long, votes would lapse before enough stand. Whom the platform turns away asks
             // again soon, each at a time of its own; who stands lets the others have the calls.
-            let scatter =
-                lot(self.ballot.me as u64, (self.cast - LONG_AGO).as_nanos()) as f64 / u64::MAX as f64;
+            let scatter = lot(self.ballot.marshal_index as u64, (self.cast - EPOCH).as_nanos()) as f64
+                / u64::MAX as f64;
             gap = gap * ((0.5 + scatter) / (VOTERS * VOTERS) as f64);
             renew = stands * if wanted.2 == Verdict::Hold { 1.0 } else { RENEW_OF_MANY };
             if none {
@@ -346,19 +348,19 @@
 impl Fleet {
     /// Share of its capacity that a node surely has: 1 when warm.
     fn ramp(&self, node: &Node, now: Time) -> f64 {
-        let age = node.age(now).over(self.warm_up.span);
-        (self.warm_up.from + (1.0 - self.warm_up.from) * age).min(1.0)
+        let age = node.age(now).ratio_to(self.warm_up.duration);
+        (self.warm_up.initial_share + (1.0 - self.warm_up.initial_share) * age).min(1.0)
     }
 
     /// The nodes in use: of each build and zone those that rank highest in a hash of this marshal's number
     /// and theirs, as many as its traffic can keep in touch with; and each one's fair part of the hits.
     fn deal(&mut self) {
         let width = ((self.rate * TOUCH.seconds()) as usize).max(LEAST_HAND);
-        let ranked = self.nodes.ranked(self.listed.me);
+        let ranked = self.nodes.ranked(self.listed.marshal_index);
         // Where a new build's nodes stand beside the earlier ones, either can carry the whole traffic.
         let of = |build| ranked.iter().filter(|(k, _)| k.0 == build).map(|(_, v)| v.len()).sum::<usize>();
         let most = ranked.keys().map(|k| of(k.0)).max().unwrap_or(0);
-        let places = if self.listed.beside { most } else { ranked.values().map(Vec::len).sum() };
+        let places = if self.listed.parallel_layout { most } else { ranked.values().map(Vec::len).sum() };
         self.hand.clear();
         let mut start = 0.0;
         for of_kind in ranked.values() {
@@ -380,7 +382,9 @@
         let times = match (ramp < 1.0, on_trial) {
             // Not again: where all are cold, a failed hit's lot would lead to the same node each time.
             (true, _) if !hit.forwards.is_empty() => 0.0,
-            (true, _) => self.warm_up.multiple * COLD_PUSH * ramp * (1.0 - shed) * usual / hit.work / surge,
+            (true, _) => {
+                self.warm_up.overload_multiple * COLD_PUSH * ramp * (1.0 - shed) * usual / hit.work / surge
+            }
             (false, true) => AHEAD,
             (false, false) => return true,
         };
@@ -414,14 +418,14 @@
 impl Marshal {
     pub fn new(
         host: &mut impl Host, now: Time, seed: u64,
-        (groups, tenancy, handling): (Vec<PathGroup>, Tenancy, Handling), trial: Trial, ballot: Ballot,
-        (listed, warm_up): (Listed, WarmUp),
+        (groups, tenancy, handling): (Vec<PathGroup>, Tenancy, SiteLimits), trial: ExposureLimits,
+        ballot: VotingRules, (listed, warm_up): (NodeListSettings, WarmUp),
     ) -> Self {
-        if listed.asked {
+        if listed.on_request {
             host.watch(true);
         }
-        host.wake(WINDOW * LOOK, Timer::Look.token());
-        let first_cap = trial.caps.first().copied().unwrap_or(0.0);
+        host.set_timer(WINDOW * LOOK, Timer::Evaluate.token());
+        let first_cap = trial.stage_caps.first().copied().unwrap_or(0.0);
         let waits = Waits::of(&groups);
         let work = groups.first().map_or(1.0, |_| waits.usual(0));
         let (e, credits) = (vec![FLOOR; groups.len()], vec![1.0; tenancy.shares.len()]);
@@ -437,56 +441,58 @@
         }
     }
 
-    pub fn told_list_opens(&mut self, now: Time, how: Listing) {
+    pub fn on_list_begin(&mut self, now: Time, how: ListUpdate) {
         self.now = now;
-        self.fleet.nodes.opens(how != Listing::Delta);
+        self.fleet.nodes.begin_list(how != ListUpdate::Delta);
         self.fleet.waits = ASK_AGAIN;
     }
 
-    pub fn told_list_entry(&mut self, id: u64, place: Place, ready: Readiness, build: u16, started: Time) {
+    pub fn on_list_entry(
+        &mut self, id: u64, place: NodeAttributes, ready: Readiness, build: u16, started: Time,
+    ) {
         let pace = self.fleet.usual(place.kind);
-        self.fleet.nodes.entry(Node { pace, ..Node::listed(id, place, ready, build, started) });
+        self.fleet.nodes.update_entry(Node { pace, ..Node::new(id, place, ready, build, started) });
     }
 
-    pub fn told_list_closes(&mut self, host: &mut impl Host) {
-        self.fleet.nodes.closes();
+    pub fn on_list_end(&mut self, host: &mut impl Host) {
+        self.fleet.nodes.end_list();
         self.fleet.deal();
         self.use_room(host);
     }
 
     /// A call for the list failed, or the watch was dropped: ask again, later each time, out of step.
-    pub fn told_list_failed(&mut self, host: &mut impl Host, now: Time) {
+    pub fn on_list_failed(&mut self, host: &mut impl Host, now: Time) {
         self.now = now;
         let fleet = &mut self.fleet;
-        host.wake(fleet.waits * self.chance.random_range(0.5..1.5), Timer::Ask.token());
-        fleet.waits = (fleet.waits * 2.0).min(fleet.listed.ask_within * ASK_LONGEST);
+        host.set_timer(fleet.waits * self.chance.random_range(0.5..1.5), Timer::RequestList.token());
+        fleet.waits = (fleet.waits * 2.0).min(fleet.listed.max_request_interval * ASK_LONGEST);
     }
 
-    pub fn told_stage(
-        &mut self, host: &mut impl Host, now: Time, (build, stage): (u16, u8), standing: Standing, cap: f64,
-        age: Span, reply: Option<Fate>,
+    pub fn on_stage(
+        &mut self, host: &mut impl Host, now: Time, (build, stage): (u16, u8), standing: BuildStatus,
+        cap: f64, age: Span, reply: Option<ForwardOutcome>,
     ) {
         self.now = now;
         let gate = &mut self.gate;
         gate.pending &= reply.is_none();
         match reply {
             // An unanswered vote may stand: it stays booked, and is cast again while meant.
-            Some(Fate::TimedOut) => gate.cast = now - gate.ballot.stands,
-            Some(Fate::Ok) | None => {
+            Some(ForwardOutcome::TimedOut) => gate.cast = now - gate.ballot.vote_lifetime,
+            Some(ForwardOutcome::Ok) | None => {
                 let before = gate.told.map(|t| (t.0, t.1));
                 let another = before.is_none_or(|t| t.0 != build);
                 if another {
                     gate.record = Record::default();
                     self.exposure.buckets.retain(|(of, _), _| *of >= build);
                 }
-                if another || !standing.open() {
+                if another || !standing.is_active() {
                     self.exposure.answered = Default::default();
                 }
                 if before != Some((build, stage)) {
                     gate.record.stage_outcomes = 0.0;
                     gate.record.rank = gate.rank(build, stage);
                 }
-                gate.record.offered |= standing == Standing::OnTrial;
+                gate.record.offered |= standing == BuildStatus::OnTrial;
                 gate.told = Some((build, stage, standing, cap, now - age));
             }
             _ => gate.vote.2 = Verdict::None,
@@ -496,7 +502,7 @@
     }
 
     /// Seconds late, the platform's sums only help marshals whose own outcomes are few.
-    pub fn told_sums(&mut self, now: Time, (build, group): (u16, usize), (n, bad): (u32, u32)) {
+    pub fn on_platform_counts(&mut self, now: Time, (build, group): (u16, usize), (n, bad): (u32, u32)) {
         self.now = now;
         let count = Count { n: f64::from(n), bad: f64::from(bad), ..Count::default() };
         if group < self.desk.groups.len() {
@@ -504,7 +510,7 @@
         }
     }
 
-    pub fn flagged(&mut self, now: Time, node: u64, _group: usize, age: Span) {
+    pub fn on_wrong_answer_report(&mut self, now: Time, node: u64, _group: usize, age: Span) {
         self.now = now;
         let node = self.fleet.nodes.named.find(node).map(|at| &self.fleet.nodes.rows[at]);
         if node.is_some_and(|n| now - age >= n.started && Some(n.build) == self.gate.newest()) {
@@ -512,7 +518,7 @@
         }
     }
 
-    pub fn taken(
+    pub fn on_hit(
         &mut self, host: &mut impl Host, now: Time, id: u32, (group, tenant): (usize, usize), key: u64,
         grace: Span, work: Option<Span>,
     ) {
@@ -529,7 +535,7 @@
         let ends = now + (grace - self.desk.handling.tick * 2.0);
         let luck = self.chance.random_range(0.0..1.0);
         let slot = self.hits.enter(Hit::taken(id, group, key, now, ends, work, value, luck));
-        host.wake(ends - now, Timer::Ends(id).token());
+        host.set_timer(ends - now, Timer::Deadline(id).token());
         // A burst is a part of the own traffic too: whole ones of many marshals would crowd the fleet.
         let burst = (EXTRA * self.fleet.rate * EXTRA_SPAN.seconds()).max(COPY_PRICE);
         self.desk.extra = (self.desk.extra + EXTRA + self.fleet.astray).min(burst);
@@ -547,7 +553,7 @@
     /// the cap is least. May harm: the first dear hits of a build that fails them all.
     fn proven(&self, effect: Effect) -> bool {
         let proof = self.gate.record.good + ENOUGH * self.gate.told.map_or(0.0, |t| f64::from(t.1));
-        let enough = if self.gate.of_many() { ENOUGH / self.gate.ballot.needed as f64 } else { ENOUGH };
+        let enough = if self.gate.of_many() { ENOUGH / self.gate.ballot.votes_needed as f64 } else { ENOUGH };
         match effect {
             Effect::Repeatable => true,
             Effect::Tagged { .. } => proof >= enough,
@@ -563,11 +569,11 @@
         let fear = if group.effect == Effect::Mutating { BLAME_COST_MUTATING } else { BLAME_COST };
         let first = reason == Reason::First;
         let may_try = first && group.effect == Effect::Repeatable && self.desk.extra >= 1.0;
-        let returning = self.exposure.trial.no_return && self.exposure.answered.contains(&hit.key);
+        let returning = self.exposure.trial.sticky_keys && self.exposure.answered.contains(&hit.key);
         let earlier = |n: &Node| Some(n.build) < self.gate.newest();
         let unknown = hit.key != 0 && !returning && self.exposure.full();
         let keeps = unknown && self.fleet.nodes.ready().any(earlier);
-        let target = group.target.seconds();
+        let target = group.target_latency.seconds();
         let listed = &self.fleet.listed;
         let mut best: [Option<(f64, usize, f64, f64)>; 2] = [None, None];
         let hunger = if self.gate.record.stage_outcomes < ENOUGH { 0.0 } else { 1.0 };
@@ -580,7 +586,8 @@
             }
             let trial = self.gate.trial(node.build);
             if let Some((stage, cap)) = trial {
-                let closed = stage < self.exposure.trial.closed_stages && group.effect != Effect::Repeatable;
+                let closed =
+                    stage < self.exposure.trial.repeatable_only_stages && group.effect != Effect::Repeatable;
                 if closed || keeps || cap <= 0.0 || *self.exposure.bucket(node.build, hit.group) < 1.0 {
                     continue;
                 }
@@ -592,7 +599,7 @@
             }
             let (wait, rank_by, blame) = self.fleet.outlook(node, hit.work, now);
             let tried = hit.forwards.iter().filter(|f| f.node == at).count() as f64;
-            let crossing = f64::from(node.place.zone != listed.zone) * listed.crossing;
+            let crossing = f64::from(node.place.zone != listed.zone) * listed.cross_zone_cost;
             let fears = ((blame + tried) * fear + crossing) * target;
             let cost = rank_by * self.chance.random_range(0.9..1.1) + fears;
             // Lest judging starve, hits that can run again overlook failures, and slowness up to 20 outcomes.
@@ -638,8 +645,10 @@
         let Some((at, wait, curious)) = picked else {
             match reason {
                 Reason::Copy => {}
-                Reason::Again => self.give_up(host, slot, Why::NoSecond),
-                Reason::First if waited >= group.target * HELD => self.give_up(host, slot, Why::NoRoom),
+                Reason::Again => self.give_up(host, slot, GiveUpReason::NoSecond),
+                Reason::First if waited >= group.target_latency * HELD => {
+                    self.give_up(host, slot, GiveUpReason::NoRoom)
+                }
                 Reason::First => self.waiting.push(hit.id),
             }
             return;
@@ -648,7 +657,7 @@
         let (expected, waited) = (wait / hit.work * self.desk.work, waited.seconds());
         let shed = self.desk.waits.shed((hit.group, hit.value), waited, expected);
         if hit.forwards.is_empty() && shed > 0.0 && self.chance.random_bool(shed) {
-            return self.give_up(host, slot, Why::TooLate);
+            return self.give_up(host, slot, GiveUpReason::TooLate);
         }
         self.desk.extra -= price;
         let build = self.fleet.nodes.rows[at].build;
@@ -660,15 +669,18 @@
         let node = &mut self.fleet.nodes.rows[at];
         let held = node.sends(now);
         if f64::from(node.since) >= chance && node.due == NEVER {
-            node.due = now + Span::of_seconds(wait * SILENT);
+            node.due = now + Span::from_seconds(wait * SILENT);
         }
         let (id, place, kind) = (node.id, node.place, usize::from(node.place.kind));
         let hit = &mut self.hits[slot];
         host.forward(hit.id, id, hit.ends - now);
-        if group.effect != Effect::Mutating && hit.forwards.len() + 1 < self.desk.handling.forwards {
-            let patience = (wait * COPY_AFTER).min(group.target.seconds() * COPY_WITHIN);
+        if group.effect != Effect::Mutating && hit.forwards.len() + 1 < self.desk.handling.max_forwards {
+            let patience = (wait * COPY_AFTER).min(group.target_latency.seconds() * COPY_WITHIN);
             let patience = patience.max(hit.work * self.fleet.paces[kind]);
-            host.wake(Span::of_seconds(patience), Timer::Copy(hit.id, hit.forwards.len() as u8).token());
+            host.set_timer(
+                Span::from_seconds(patience),
+                Timer::Hedge(hit.id, hit.forwards.len() as u8).token(),
+            );
         }
         hit.forwards.push(Forward { node: at, place, build, sent: now, held, curious, fate: None });
         self.shift(host, slot, State::Out);
@@ -681,7 +693,8 @@
             return;
         }
         hit.state = to;
-        let soon = come_back(self.desk.groups[hit.group].target, self.desk.handling.retry_in);
+        let soon =
+            retry_after(self.desk.groups[hit.group].target_latency, self.desk.handling.max_retry_after);
         match to {
             State::Bounced => host.bounce(hit.id, soon),
             State::Errored => host.error(hit.id),
@@ -689,15 +702,15 @@
         }
         if to.ended() {
             let out = hit.forwards.iter().enumerate().filter(|(_, f)| f.fate.is_none());
-            for (hop, _) in out.filter(|_| self.desk.handling.cancelling) {
+            for (hop, _) in out.filter(|_| self.desk.handling.cancellation) {
                 host.cancel(hit.id, hop as u8);
             }
             self.hits.release(slot);
         }
     }
 
-    fn give_up(&mut self, host: &mut impl Host, slot: usize, why: Why) {
-        host.gives_up(self.hits[slot].id, why);
+    fn give_up(&mut self, host: &mut impl Host, slot: usize, why: GiveUpReason) {
+        host.report_give_up(self.hits[slot].id, why);
         let lawful = self.desk.may_bounce(&self.hits[slot]);
         self.shift(host, slot, if lawful { State::Bounced } else { State::Errored });
     }
@@ -709,8 +722,8 @@
         }
     }
 
-    pub fn completed(
-        &mut self, host: &mut impl Host, now: Time, (id, hop): (u32, u8), fate: Fate, last: bool,
+    pub fn on_forward_completed(
+        &mut self, host: &mut impl Host, now: Time, (id, hop): (u32, u8), fate: ForwardOutcome, last: bool,
         latency: Span,
     ) {
         self.now = now;
@@ -722,8 +735,8 @@
         let (forward, build) = (*forward, forward.build);
         self.weigh(&forward, group, fate, latency, work);
         self.learn(&forward, fate, latency, work);
-        if fate == Fate::Ok {
-            let kept = self.exposure.trial.no_return && !self.exposure.full();
+        if fate == ForwardOutcome::Ok {
+            let kept = self.exposure.trial.sticky_keys && !self.exposure.full();
             if kept && key != 0 && Some(build) == self.gate.newest() {
                 self.exposure.answered.insert(key);
             }
@@ -739,41 +752,45 @@
         self.use_room(host);
     }
 
-    fn learn(&mut self, forward: &Forward, fate: Fate, latency: Span, work: f64) {
+    fn learn(&mut self, forward: &Forward, fate: ForwardOutcome, latency: Span, work: f64) {
         let (now, fleet) = (self.now, &mut self.fleet);
         let node = &mut fleet.nodes.rows[forward.node];
-        if !node.hears(now, forward, matches!(fate, Fate::Ok | Fate::Error | Fate::Rejected)) {
+        if !node.hears(
+            now,
+            forward,
+            matches!(fate, ForwardOutcome::Ok | ForwardOutcome::Error | ForwardOutcome::Rejected),
+        ) {
             return; // it was another process
         }
         let pace = latency.seconds() / work;
         // Where later forwards were answered, this answer went astray: that says nothing of the node's pace.
-        let lost = matches!(fate, Fate::Cancelled | Fate::TimedOut) && pace > node.pace;
+        let lost = matches!(fate, ForwardOutcome::Cancelled | ForwardOutcome::TimedOut) && pace > node.pace;
         let astray = lost && node.answered > forward.sent;
-        if astray || matches!(fate, Fate::Ok | Fate::Error) {
+        if astray || matches!(fate, ForwardOutcome::Ok | ForwardOutcome::Error) {
             self.desk.waits.done();
         }
         // By work, so that light hits, whose ratios scatter most, count least.
         let weight = LEARN * (work / self.desk.work).min(2.0);
         // A loss tells little of the pace: the answer may have gone astray.
-        let bound = if fate == Fate::Ok { 10.0 } else { 3.0 };
-        if fate == Fate::Ok || (lost && !astray) {
+        let bound = if fate == ForwardOutcome::Ok { 10.0 } else { 3.0 };
+        if fate == ForwardOutcome::Ok || (lost && !astray) {
             node.pace += weight * (pace.min(node.pace * bound) - node.pace);
             node.usual += LEARN * (forward.held - node.usual);
             node.timed = now;
         }
-        if fate == Fate::Ok || astray {
+        if fate == ForwardOutcome::Ok || astray {
             fleet.astray += LEARN.powi(2) * (f64::from(astray) - fleet.astray);
         }
-        if fate == Fate::Ok {
+        if fate == ForwardOutcome::Ok {
             // Answers only: were losses to count, a fleet that stands idle would pass for a slow one.
             let usual = &mut fleet.paces[usize::from(node.place.kind)];
             *usual += FLEET_LEARN * weight * (pace.min(*usual * bound) - *usual);
         }
         let blame = node.blame * fade(now - node.blamed);
         node.blame = match fate {
-            Fate::Ok => blame * (1.0 - BLAME),
-            Fate::Unreached => 1.0,
-            Fate::Cancelled | Fate::Unsent if !astray => blame,
+            ForwardOutcome::Ok => blame * (1.0 - BLAME),
+            ForwardOutcome::Unreached => 1.0,
+            ForwardOutcome::Cancelled | ForwardOutcome::Unsent if !astray => blame,
             _ => blame + BLAME * (1.0 - blame),
         };
         node.blamed = now;
@@ -781,21 +798,24 @@
 
     /// What an outcome says of its build: the design's evidence. Left out are tries of blamed nodes, first
     /// outcomes of a started node, late ones while it is cold, and losses on a node silent since.
-    fn weigh(&mut self, forward: &Forward, group: usize, fate: Fate, latency: Span, work: f64) {
+    fn weigh(&mut self, forward: &Forward, group: usize, fate: ForwardOutcome, latency: Span, work: f64) {
         let Forward { node: at, build, sent, curious, .. } = *forward;
         let node = &self.fleet.nodes.rows[at];
-        let young = |share| node.age(sent) < self.fleet.warm_up.span * share;
-        let failed = matches!(fate, Fate::Error | Fate::Reset);
-        let late = !failed && (fate == Fate::TimedOut || latency > self.desk.groups[group].target);
-        let lost = matches!(fate, Fate::TimedOut | Fate::Reset | Fate::Cancelled);
-        let silent = matches!(fate, Fate::Rejected | Fate::Unreached | Fate::Unsent)
-            || (lost && node.unheard.is_some_and(|t| t <= sent));
+        let young = |share| node.age(sent) < self.fleet.warm_up.duration * share;
+        let failed = matches!(fate, ForwardOutcome::Error | ForwardOutcome::Reset);
+        let late =
+            !failed && (fate == ForwardOutcome::TimedOut || latency > self.desk.groups[group].target_latency);
+        let lost =
+            matches!(fate, ForwardOutcome::TimedOut | ForwardOutcome::Reset | ForwardOutcome::Cancelled);
+        let silent =
+            matches!(fate, ForwardOutcome::Rejected | ForwardOutcome::Unreached | ForwardOutcome::Unsent)
+                || (lost && node.unheard.is_some_and(|t| t <= sent));
         let early = young(LEFT_OUT) || (young(1.0) && (late || lost));
-        if node.build != build || curious || silent || early || (fate == Fate::Cancelled && !late) {
+        if node.build != build || curious || silent || early || (fate == ForwardOutcome::Cancelled && !late) {
             return;
         }
         let pace = latency.seconds() / work;
-        let timed = f64::from((late || fate == Fate::Ok) && !young(1.0));
+        let timed = f64::from((late || fate == ForwardOutcome::Ok) && !young(1.0));
         let time = timed * (pace / self.fleet.paces[usize::from(node.place.kind)]).min(SLOWEST);
         let count = Count { n: 1.0, bad: f64::from(failed || late), failed: f64::from(failed), timed, time };
         if timed > 0.0 {
@@ -805,36 +825,36 @@
         if Some(build) == self.gate.newest() {
             self.gate.record.stage_outcomes += 1.0;
             self.gate.record.good += 1.0 - 2.0 * count.bad;
-            let unreported = self.gate.ballot.reported * FLOOR * (1.0 - MISTAKEN);
+            let unreported = self.gate.ballot.reported_share * FLOOR * (1.0 - MISTAKEN);
             self.gate.record.odds = (self.gate.record.odds - unreported).max(0.0);
         }
     }
 
-    pub fn client_left(&mut self, host: &mut impl Host, now: Time, id: u32) {
+    pub fn on_client_left(&mut self, host: &mut impl Host, now: Time, id: u32) {
         self.now = now;
         if let Some(slot) = self.hits.find(id) {
             self.shift(host, slot, State::Left);
         }
     }
 
-    pub fn woken(&mut self, host: &mut impl Host, now: Time, token: u64) {
+    pub fn on_timer(&mut self, host: &mut impl Host, now: Time, token: u64) {
         self.now = now;
         match Timer::from(token) {
-            Timer::Look => self.look(host),
-            Timer::Ask => host.watch(true),
-            Timer::Ends(id) => {
+            Timer::Evaluate => self.look(host),
+            Timer::RequestList => host.watch(true),
+            Timer::Deadline(id) => {
                 if let Some(slot) = self.hits.find(id) {
-                    self.give_up(host, slot, Why::TimeUp);
+                    self.give_up(host, slot, GiveUpReason::TimeUp);
                 }
             }
-            Timer::Copy(id, hop) => {
+            Timer::Hedge(id, hop) => {
                 let Some(slot) = self.hits.find(id) else { return };
                 let hit = &self.hits[slot];
                 let forward = hit.forwards.get(usize::from(hop)).filter(|_| !hit.state.ended());
                 let out = forward.is_some_and(|f| f.fate.is_none());
-                if out && self.desk.handling.second_copies {
+                if out && self.desk.handling.hedging {
                     self.place(host, slot, Reason::Copy);
-                } else if out && self.desk.handling.cancelling {
+                } else if out && self.desk.handling.cancellation {
                     host.cancel(id, hop);
                 }
             }
@@ -844,7 +864,7 @@
     /// Twenty times a window: judge the newest build, vote, and see to held hits.
     fn look(&mut self, host: &mut impl Host) {
         let now = self.now;
-        host.wake(WINDOW * LOOK, Timer::Look.token());
+        host.set_timer(WINDOW * LOOK, Timer::Evaluate.token());
         self.gate.seen.forget(now - WINDOW * KEPT_WINDOWS);
         self.gate.sums.forget(now - WINDOW);
         if let Some((build, _, standing, ..)) = self.gate.told {
@@ -852,7 +872,7 @@
             let bar = if self.gate.of_many() { CONVICT_OF_MANY } else { CONVICT };
             let wrong = (self.gate.record.odds >= bar).then(|| "answers reported wrong".into());
             let why = self.gate.judge(build, &self.fleet.nodes, now).or(wrong).or(drag);
-            if let (true, Some(why)) = (standing.open() && self.gate.record.offered, why) {
+            if let (true, Some(why)) = (standing.is_active() && self.gate.record.offered, why) {
                 if now >= self.gate.record.back_until {
                     host.log(&format!("vote {build} back, {why}"));
                 }
@@ -901,6 +921,7 @@
         }
         let slow = mix > (before + FLOOR) * MARGIN && pace > was * MARGIN && load < at * like;
         gate.record.slow_looks = if slow { gate.record.slow_looks + 1 } else { 0 };
-        gate.record.slow_looks >= if gate.ballot.needed > VOTERS { SLOW_LOOKS * 3 / 4 } else { SLOW_LOOKS }
+        gate.record.slow_looks
+            >= if gate.ballot.votes_needed > VOTERS { SLOW_LOOKS * 3 / 4 } else { SLOW_LOOKS }
     }
 }
--- a/src/terms.rs
+++ b/src/settings.rs
@@ -1,24 +1,24 @@
 //! What a marshal is told at its start, a few figures for each part of the module. Only carried here:
 //! what follows from them is decided in `policy`.
 
-use crate::host::Place;
+use crate::host::NodeAttributes;
 use crate::time::Span;
 
 /// The group of nodes that drops repeats of a tagged hit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Scope {
+pub enum DedupScope {
     All,
     Zone,
     Cell,
 }
 
-impl Scope {
+impl DedupScope {
     /// Do the two places belong to one group?
-    pub fn joins(self, one: Place, other: Place) -> bool {
+    pub fn same_group(self, one: NodeAttributes, other: NodeAttributes) -> bool {
         match self {
-            Scope::All => true,
-            Scope::Zone => one.zone == other.zone,
-            Scope::Cell => one.cell == other.cell,
+            DedupScope::All => true,
+            DedupScope::Zone => one.zone == other.zone,
+            DedupScope::Cell => one.cell == other.cell,
         }
     }
 }
@@ -26,16 +26,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
     Repeatable,
-    Tagged { scope: Scope, memory: Span },
+    Tagged { scope: DedupScope, dedup_window: Span },
     Mutating,
 }
 
 #[derive(Clone, Copy, Debug)]
 pub struct PathGroup {
     pub effect: Effect,
-    pub target: Span,
+    pub target_latency: Span,
     /// The target latency grows by this many times the hit's own work.
-    pub stretch: f64,
+    pub target_stretch: f64,
     pub timeout: Span,
     /// Share of the benefit of an answer after the target latency.
     pub late_benefit: f64,
@@ -44,13 +44,13 @@
 
 /// How a hit may be handled at this site.
 #[derive(Clone, Copy, Debug)]
-pub struct Handling {
+pub struct SiteLimits {
     /// Most forwards of one hit.
-    pub forwards: usize,
-    pub second_copies: bool,
-    pub cancelling: bool,
+    pub max_forwards: usize,
+    pub hedging: bool,
+    pub cancellation: bool,
     /// Longest wait that a bounced client obeys; zero where it is not told any.
-    pub retry_in: Span,
+    pub max_retry_after: Span,
     pub tick: Span,
 }
 
@@ -58,23 +58,23 @@
 #[derive(Clone, Debug, Default)]
 pub struct Tenancy {
     pub shares: Vec<f64>,
-    pub over_share: f64,
+    pub over_share_factor: f64,
 }
 
 /// How much of the traffic a build on trial may get.
 #[derive(Clone, Debug, Default)]
-pub struct Trial {
+pub struct ExposureLimits {
     pub allowance: f64,
-    pub by_group: bool,
-    pub closed_stages: u8,
-    pub no_return: bool,
+    pub per_group: bool,
+    pub repeatable_only_stages: u8,
+    pub sticky_keys: bool,
     /// Most share by stage.
-    pub caps: Vec<f64>,
+    pub stage_caps: Vec<f64>,
 }
 
 /// What moves a stage on: a clock that votes can hold, or 'on' votes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Control {
+pub enum StageControl {
     #[default]
     Clock,
     Votes,
@@ -82,39 +82,39 @@
 
 /// How marshals vote on a build.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Ballot {
-    pub me: usize,
-    pub marshals: usize,
-    pub control: Control,
+pub struct VotingRules {
+    pub marshal_index: usize,
+    pub marshal_count: usize,
+    pub control: StageControl,
     /// Marshals whose votes the strictest of the verdicts needs.
-    pub needed: usize,
+    pub votes_needed: usize,
     /// Marshals whose votes hold the clock.
-    pub holds: usize,
-    pub stands: Span,
+    pub holds_needed: usize,
+    pub vote_lifetime: Span,
     pub call_timeout: Span,
     pub calls_per_s: f64,
     /// Share of wrong answers that clients report; zero where they report none.
-    pub reported: f64,
+    pub reported_share: f64,
 }
 
 /// How nodes are told of, and what crossing zones costs.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Listed {
+pub struct NodeListSettings {
     /// This marshal's number.
-    pub me: usize,
+    pub marshal_index: usize,
     pub zone: u8,
-    pub crossing: f64,
+    pub cross_zone_cost: f64,
     /// The list answers only when asked.
-    pub asked: bool,
-    pub ask_within: Span,
+    pub on_request: bool,
+    pub max_request_interval: Span,
     /// Machines of the earlier build stay until the new one is released.
-    pub beside: bool,
+    pub parallel_layout: bool,
 }
 
 /// How a started node warms up, and when it falls over.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct WarmUp {
-    pub from: f64,
-    pub span: Span,
-    pub multiple: f64,
+    pub initial_share: f64,
+    pub duration: Span,
+    pub overload_multiple: f64,
 }
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,12 +1,14 @@
 //! The module's state by how long it lives: for a forward, a hit, a node, the instance. Plain data; what it
 //! means is decided in `policy`.
 
-use crate::host::{Fate, Place, Readiness, Standing, Verdict};
+use crate::host::{BuildStatus, ForwardOutcome, NodeAttributes, Readiness, Verdict};
 use crate::index::{Index, lot};
-use crate::ledger::Ledger;
-use crate::terms::{Ballot, Handling, Listed, PathGroup, Tenancy, Trial, WarmUp};
+use crate::load_shedding::Waits;
+use crate::outcomes::Ledger;
+use crate::settings::{
+    ExposureLimits, NodeListSettings, PathGroup, SiteLimits, Tenancy, VotingRules, WarmUp,
+};
 use crate::time::{Span, Time};
-use crate::waits::Waits;
 use std::collections::{BTreeMap, HashSet, VecDeque};
 use std::ops::{Index as At, IndexMut as AtMut};
 
@@ -30,26 +32,26 @@
 }
 
 /// Listed start of nodes that started a long time back.
-pub const LONG_AGO: Time = Time::at(0);
+pub const EPOCH: Time = Time::at(0);
 
 /// A point in time that is not to come.
 pub const NEVER: Time = Time::at(u64::MAX);
 
 /// What a timer is for, as the token that comes back with it.
 pub enum Timer {
-    Look,
-    Ask,
-    Ends(u32),
-    Copy(u32, u8),
+    Evaluate,
+    RequestList,
+    Deadline(u32),
+    Hedge(u32, u8),
 }
 
 impl Timer {
     pub fn token(self) -> u64 {
         match self {
-            Timer::Look => 0,
-            Timer::Ask => 1 << 48,
-            Timer::Ends(id) => 2 << 48 | u64::from(id),
-            Timer::Copy(id, hop) => 3 << 48 | u64::from(hop) << 32 | u64::from(id),
+            Timer::Evaluate => 0,
+            Timer::RequestList => 1 << 48,
+            Timer::Deadline(id) => 2 << 48 | u64::from(id),
+            Timer::Hedge(id, hop) => 3 << 48 | u64::from(hop) << 32 | u64::from(id),
         }
     }
 }
@@ -57,10 +59,10 @@
 impl From<u64> for Timer {
     fn from(token: u64) -> Self {
         match token >> 48 {
-            0 => Timer::Look,
-            1 => Timer::Ask,
-            2 => Timer::Ends(token as u32),
-            _ => Timer::Copy(token as u32, (token >> 32) as u8),
+            0 => Timer::Evaluate,
+            1 => Timer::RequestList,
+            2 => Timer::Deadline(token as u32),
+            _ => Timer::Hedge(token as u32, (token >> 32) as u8),
         }
     }
 }
@@ -77,19 +79,22 @@
 #[derive(Clone, Copy)]
 pub struct Forward {
     pub node: usize,
-    pub place: Place,
+    pub place: NodeAttributes,
     pub build: u16,
     pub sent: Time,
     /// Own forwards that the node held then.
     pub held: f64,
     /// It tries a node in spite of its blame.
     pub curious: bool,
-    pub fate: Option<Fate>,
+    pub fate: Option<ForwardOutcome>,
 }
 
 impl Forward {
     pub fn never_ran(&self) -> bool {
-        matches!(self.fate, Some(Fate::Rejected | Fate::Unreached | Fate::Unsent))
+        matches!(
+            self.fate,
+            Some(ForwardOutcome::Rejected | ForwardOutcome::Unreached | ForwardOutcome::Unsent)
+        )
     }
 }
 
@@ -125,7 +130,7 @@
 
 pub struct Node {
     pub id: u64,
-    pub place: Place,
+    pub place: NodeAttributes,
     pub readiness: Readiness,
     pub build: u16,
     /// Listed start; zero for a long time back.
@@ -188,11 +193,11 @@
 
     /// Time since its listed start; without end if that was a long time back.
     pub fn age(&self, at: Time) -> Span {
-        if self.started == LONG_AGO { Span::nanos(u64::MAX) } else { at - self.started }
+        if self.started == EPOCH { Span::nanos(u64::MAX) } else { at - self.started }
     }
 
     /// A node of which nothing is known yet but its listing, and the pace and load of others.
-    pub fn listed(id: u64, place: Place, readiness: Readiness, build: u16, started: Time) -> Self {
+    pub fn new(id: u64, place: NodeAttributes, readiness: Readiness, build: u16, started: Time) -> Self {
         let (blamed, tried, answered) = (Time::default(), Time::default(), Time::default());
         let (pace, usual, part, start) = (1.0, 0.0, 0.0, 0.0);
         let (open, blame, unheard, since, due) = (0, 0.0, None, 0, NEVER);
@@ -243,13 +248,13 @@
         ranked
     }
 
-    pub fn opens(&mut self, full: bool) {
+    pub fn begin_list(&mut self, full: bool) {
         self.mentioned = full.then(|| vec![false; self.rows.len()]);
     }
 
     /// Puts down one entry. A new process under an old id, or one that comes back, starts afresh, but for
     /// forwards still out.
-    pub fn entry(&mut self, fresh: Node) {
+    pub fn update_entry(&mut self, fresh: Node) {
         let at = self.named.enter(fresh.id);
         if let Some(mentioned) = &mut self.mentioned {
             mentioned.resize(mentioned.len().max(at + 1), false);
@@ -268,7 +273,7 @@
     }
 
     /// Ends a list; what a full one left out is gone. Gone nodes are forgotten once all is home.
-    pub fn closes(&mut self) {
+    pub fn end_list(&mut self) {
         for (at, named) in self.mentioned.take().into_iter().flatten().enumerate() {
             if !named {
                 self.rows[at].readiness = Readiness::Gone;
@@ -346,7 +351,7 @@
 pub struct Desk {
     pub groups: Vec<PathGroup>,
     pub tenancy: Tenancy,
-    pub handling: Handling,
+    pub handling: SiteLimits,
     /// Usual answer times by path group, and how long hits may wait.
     pub waits: Waits,
     /// Each tenant's hits within its share, ready to be taken.
@@ -359,7 +364,7 @@
 /// What each build on trial may still get, by build and path group.
 #[derive(Default)]
 pub struct Exposure {
-    pub trial: Trial,
+    pub trial: ExposureLimits,
     pub salt: u64,
     pub buckets: BTreeMap<(u16, usize), f64>,
     /// Keys that the newest build has answered.
@@ -388,11 +393,11 @@
 /// What is known of the newest build, what was seen of each build, and the marshal's vote.
 #[derive(Default)]
 pub struct Gate {
-    pub ballot: Ballot,
+    pub ballot: VotingRules,
     /// The cap of stage 0, for builds not announced yet.
     pub first_cap: f64,
     /// Build, stage, standing, cap, and since when the stage stands.
-    pub told: Option<(u16, u8, Standing, f64, Time)>,
+    pub told: Option<(u16, u8, BuildStatus, f64, Time)>,
     pub seen: Ledger,
     /// Answers of warm nodes lately: when, their pace, by which build.
     pub answers: VecDeque<(Time, f64, u16)>,
@@ -420,7 +425,7 @@
 /// The nodes as last listed, and what cold ones may be sent.
 #[derive(Default)]
 pub struct Fleet {
-    pub listed: Listed,
+    pub listed: NodeListSettings,
     pub warm_up: WarmUp,
     pub nodes: Nodes,
     pub waits: Span,
--- a/src/time.rs
+++ b/src/time.rs
@@ -25,7 +25,7 @@
         Span(millis * 1_000_000)
     }
 
-    pub fn of_seconds(seconds: f64) -> Self {
+    pub fn from_seconds(seconds: f64) -> Self {
         Span((seconds * 1e9) as u64)
     }
 
@@ -38,7 +38,7 @@
     }
 
     /// How many times `other` this span is; an empty `other` counts as one nanosecond.
-    pub fn over(self, other: Span) -> f64 {
+    pub fn ratio_to(self, other: Span) -> f64 {
         self.0 as f64 / other.0.max(1) as f64
     }
 }
--- a/tests/fake/mod.rs
+++ b/tests/fake/mod.rs
@@ -2,7 +2,7 @@
 
 use stonescale::host::*;
 use stonescale::policy::Marshal;
-use stonescale::terms::*;
+use stonescale::settings::*;
 use stonescale::time::{Span, Time};
 
 #[derive(Clone, Debug, PartialEq)]
@@ -45,7 +45,7 @@
         self.calls.push(Call::Watch);
     }
     fn fetch(&mut self) {}
-    fn wake(&mut self, wait: Span, token: u64) {
+    fn set_timer(&mut self, wait: Span, token: u64) {
         self.timers.push((self.now + wait, token));
     }
     fn log(&mut self, _text: &str) {}
@@ -60,60 +60,60 @@
 pub struct Site {
     pub groups: Vec<PathGroup>,
     pub tenancy: Tenancy,
-    pub handling: Handling,
-    pub trial: Trial,
-    pub ballot: Ballot,
-    pub listed: Listed,
+    pub handling: SiteLimits,
+    pub trial: ExposureLimits,
+    pub ballot: VotingRules,
+    pub listed: NodeListSettings,
     pub warm_up: WarmUp,
 }
 
 pub fn site() -> Site {
     let group = |effect, benefit| PathGroup {
         effect,
-        target: Span::millis(400),
-        stretch: 0.0,
+        target_latency: Span::millis(400),
+        target_stretch: 0.0,
         timeout: SECOND,
         late_benefit: 0.0,
         benefit,
     };
-    let tagged = Effect::Tagged { scope: Scope::All, memory: SECOND };
+    let tagged = Effect::Tagged { scope: DedupScope::All, dedup_window: SECOND };
     Site {
         groups: vec![group(Effect::Repeatable, 1.0), group(tagged, 3.0), group(Effect::Mutating, 9.0)],
         tenancy: Tenancy::default(),
-        handling: Handling {
-            forwards: 5,
-            second_copies: true,
-            cancelling: true,
-            retry_in: SECOND,
+        handling: SiteLimits {
+            max_forwards: 5,
+            hedging: true,
+            cancellation: true,
+            max_retry_after: SECOND,
             tick: Span::millis(5),
         },
-        trial: Trial {
+        trial: ExposureLimits {
             allowance: 2.0,
-            by_group: false,
-            closed_stages: 0,
-            no_return: false,
-            caps: vec![0.1, 0.5, 1.0],
+            per_group: false,
+            repeatable_only_stages: 0,
+            sticky_keys: false,
+            stage_caps: vec![0.1, 0.5, 1.0],
         },
-        ballot: Ballot {
-            me: 0,
-            marshals: 1,
-            control: Control::Clock,
-            needed: 1,
-            holds: 1,
-            stands: SECOND * 10.0,
+        ballot: VotingRules {
+            marshal_index: 0,
+            marshal_count: 1,
+            control: StageControl::Clock,
+            votes_needed: 1,
+            holds_needed: 1,
+            vote_lifetime: SECOND * 10.0,
             call_timeout: SECOND * 0.1,
             calls_per_s: 50.0,
-            reported: 0.3,
+            reported_share: 0.3,
         },
-        listed: Listed {
-            me: 0,
+        listed: NodeListSettings {
+            marshal_index: 0,
             zone: 0,
-            crossing: 0.02,
-            asked: false,
-            ask_within: SECOND * 10.0,
-            beside: true,
+            cross_zone_cost: 0.02,
+            on_request: false,
+            max_request_interval: SECOND * 10.0,
+            parallel_layout: true,
         },
-        warm_up: WarmUp { from: 0.3, span: SECOND * 4.0, multiple: 2.0 },
+        warm_up: WarmUp { initial_share: 0.3, duration: SECOND * 4.0, overload_multiple: 2.0 },
     }
 }
 
@@ -132,7 +132,7 @@
         let marshal = Marshal::new(
             &mut book,
             now,
-            7 + self.listed.me as u64,
+            7 + self.listed.marshal_index as u64,
             hits,
             self.trial,
             self.ballot,
@@ -146,12 +146,12 @@
     /// Lists nodes as id, build and state; odd ids stand in zone 1. They started `age` ago.
     pub fn list(&mut self, nodes: &[(u64, u16, Readiness)], age: Option<Span>) {
         let started = age.map_or(Time::at(0), |age| self.now - age);
-        self.marshal.told_list_opens(self.now, Listing::Delta);
+        self.marshal.on_list_begin(self.now, ListUpdate::Delta);
         for &(id, build, ready) in nodes {
-            let place = Place { zone: (id % 2) as u8, ..Place::default() };
-            self.marshal.told_list_entry(id, place, ready, build, started);
+            let place = NodeAttributes { zone: (id % 2) as u8, ..NodeAttributes::default() };
+            self.marshal.on_list_entry(id, place, ready, build, started);
         }
-        self.marshal.told_list_closes(&mut self.book);
+        self.marshal.on_list_end(&mut self.book);
     }
 
     pub fn ready(&mut self, ids: std::ops::Range<u64>, build: u16) {
@@ -159,9 +159,9 @@
         self.list(&nodes, None);
     }
 
-    pub fn stage(&mut self, build: u16, stage: u8, standing: Standing, cap: f64) {
+    pub fn stage(&mut self, build: u16, stage: u8, standing: BuildStatus, cap: f64) {
         let now = self.now;
-        self.marshal.told_stage(&mut self.book, now, (build, stage), standing, cap, Span::ZERO, None);
+        self.marshal.on_stage(&mut self.book, now, (build, stage), standing, cap, Span::ZERO, None);
     }
 
     pub fn take(&mut self, group: usize) -> u32 {
@@ -171,13 +171,13 @@
     pub fn take_keyed(&mut self, group: usize, key: u64) -> u32 {
         self.last += 1;
         let (id, grace) = (self.last, SECOND);
-        self.marshal.taken(&mut self.book, self.now, id, (group, 0), key, grace, None);
+        self.marshal.on_hit(&mut self.book, self.now, id, (group, 0), key, grace, None);
         id
     }
 
-    pub fn end(&mut self, hit: u32, hop: u8, fate: Fate, millis: u64) {
-        let (latency, last) = (Span::millis(millis), fate == Fate::Ok);
-        self.marshal.completed(&mut self.book, self.now, (hit, hop), fate, last, latency);
+    pub fn end(&mut self, hit: u32, hop: u8, fate: ForwardOutcome, millis: u64) {
+        let (latency, last) = (Span::millis(millis), fate == ForwardOutcome::Ok);
+        self.marshal.on_forward_completed(&mut self.book, self.now, (hit, hop), fate, last, latency);
     }
 
     /// Lets time pass, with the timers that come due.
@@ -190,7 +190,7 @@
             }
             self.book.timers.remove(at);
             (self.now, self.book.now) = (due, due);
-            self.marshal.woken(&mut self.book, due, token);
+            self.marshal.on_timer(&mut self.book, due, token);
         }
         (self.now, self.book.now) = (until, until);
     }
@@ -210,7 +210,7 @@
 
     /// Takes a hit every 10 ms; `outcome` says how its forward to a node ends. Returns forwards by node.
     pub fn traffic(
-        &mut self, hits: usize, group: usize, mut outcome: impl FnMut(u64) -> (Fate, u64),
+        &mut self, hits: usize, group: usize, mut outcome: impl FnMut(u64) -> (ForwardOutcome, u64),
     ) -> Vec<u64> {
         let mut nodes = Vec::new();
         for _ in 0..hits {
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 use stonescale::host::*;
 use stonescale::policy::Marshal;
-use stonescale::terms::*;
+use stonescale::settings::*;
 use stonescale::time::{Span, Time};
 
 const MS: u64 = 1_000_000;
@@ -60,7 +60,7 @@
     fn vote(&mut self, _: u16, _: u8, _: Verdict) {}
     fn watch(&mut self, _: bool) {}
     fn fetch(&mut self) {}
-    fn wake(&mut self, wait: Span, token: u64) {
+    fn set_timer(&mut self, wait: Span, token: u64) {
         self.0.push(Act::Wake(wait, token));
     }
     fn log(&mut self, _: &str) {}
@@ -157,42 +157,43 @@
     fn open(&mut self, me: usize, marshals: usize) {
         let group = |k: &Kind| PathGroup {
             effect: k.effect,
-            target: Span::millis(k.target_ms),
-            stretch: 0.0,
+            target_latency: Span::millis(k.target_ms),
+            target_stretch: 0.0,
             timeout: Span::millis(k.timeout_ms),
             late_benefit: 0.0,
             benefit: k.benefit,
         };
-        let handling = Handling {
-            forwards: 4,
-            second_copies: true,
-            cancelling: true,
-            retry_in: Span::millis(500),
+        let handling = SiteLimits {
+            max_forwards: 4,
+            hedging: true,
+            cancellation: true,
+            max_retry_after: Span::millis(500),
             tick: Span::millis(1),
         };
-        let ballot = Ballot {
-            me,
-            marshals,
-            needed: 1,
-            stands: Span::millis(10_000),
+        let ballot = VotingRules {
+            marshal_index: me,
+            marshal_count: marshals,
+            votes_needed: 1,
+            vote_lifetime: Span::millis(10_000),
             call_timeout: Span::millis(100),
             calls_per_s: 50.0,
-            ..Ballot::default()
+            ..VotingRules::default()
         };
-        let listed = Listed {
-            me,
+        let listed = NodeListSettings {
+            marshal_index: me,
             zone: (me as u64 % ZONES) as u8,
-            crossing: 0.02,
-            ask_within: Span::millis(10_000),
-            ..Listed::default()
+            cross_zone_cost: 0.02,
+            max_request_interval: Span::millis(10_000),
+            ..NodeListSettings::default()
         };
-        let warm_up = WarmUp { from: 0.4, span: Span::nanos(WARM_UP), multiple: 2.0 };
-        let trial = Trial { allowance: 2.0, caps: vec![0.1, 1.0], ..Trial::default() };
+        let warm_up = WarmUp { initial_share: 0.4, duration: Span::nanos(WARM_UP), overload_multiple: 2.0 };
+        let trial =
+            ExposureLimits { allowance: 2.0, stage_caps: vec![0.1, 1.0], ..ExposureLimits::default() };
         let groups = self.kinds.iter().map(group).collect();
         let (mut door, now) = (Door::default(), Time::at(self.now));
         let hits = (groups, Tenancy::default(), handling);
         let mut marshal = Marshal::new(&mut door, now, me as u64, hits, trial, ballot, (listed, warm_up));
-        marshal.told_stage(&mut door, now, (1, 1), Standing::Released, 1.0, Span::ZERO, None);
+        marshal.on_stage(&mut door, now, (1, 1), BuildStatus::Released, 1.0, Span::ZERO, None);
         self.doors.push(door);
         self.marshals.push(marshal);
         self.list(me, (0..self.nodes.len()).collect());
@@ -201,14 +202,14 @@
     /// Tells a marshal of some nodes.
     fn list(&mut self, me: usize, which: Vec<usize>) {
         let (door, now) = (&mut self.doors[me], Time::at(self.now));
-        self.marshals[me].told_list_opens(now, Listing::Delta);
+        self.marshals[me].on_list_begin(now, ListUpdate::Delta);
         for at in which {
             let node = &self.nodes[at];
-            let place = Place { zone: (at as u64 % ZONES) as u8, ..Place::default() };
+            let place = NodeAttributes { zone: (at as u64 % ZONES) as u8, ..NodeAttributes::default() };
             let ready = if node.lost { Readiness::Gone } else { Readiness::Ready };
-            self.marshals[me].told_list_entry(at as u64, place, ready, 1, Time::at(node.started));
+            self.marshals[me].on_list_entry(at as u64, place, ready, 1, Time::at(node.started));
         }
-        self.marshals[me].told_list_closes(door);
+        self.marshals[me].on_list_end(door);
         self.acts(me);
     }
 
@@ -236,17 +237,17 @@
                 let hit = Hit { kind, asked, tries, over: false, forwards: Vec::new() };
                 self.hits[me].insert(id, hit);
                 let grace = Span::millis(self.kinds[kind].timeout_ms);
-                self.marshals[me].taken(&mut self.doors[me], now, id, (kind, 0), 0, grace, None);
+                self.marshals[me].on_hit(&mut self.doors[me], now, id, (kind, 0), 0, grace, None);
                 self.acts(me);
             }
             Event::Due(me, token) => {
-                self.marshals[me].woken(&mut self.doors[me], now, token);
+                self.marshals[me].on_timer(&mut self.doors[me], now, token);
                 self.acts(me);
             }
             Event::Done(node, process, me, id, hop) => {
                 if self.nodes[node as usize].process == process {
                     self.nodes[node as usize].busy -= 1;
-                    self.ended(me, id, hop, Fate::Ok);
+                    self.ended(me, id, hop, ForwardOutcome::Ok);
                     self.work(node as usize);
                 }
             }
@@ -282,19 +283,19 @@
         }
     }
 
-    fn ended(&mut self, me: usize, id: u32, hop: u8, fate: Fate) {
+    fn ended(&mut self, me: usize, id: u32, hop: u8, fate: ForwardOutcome) {
         let Some(hit) = self.hits[me].get_mut(&id) else { return };
         let (sent, told) = &mut hit.forwards[usize::from(hop)];
         if std::mem::replace(told, true) {
             return;
         }
         let latency = Span::nanos(self.now - *sent);
-        if fate == Fate::Ok && !std::mem::replace(&mut hit.over, true) {
+        if fate == ForwardOutcome::Ok && !std::mem::replace(&mut hit.over, true) {
             let within = f64::from(self.now - hit.asked <= self.kinds[hit.kind].target_ms * MS);
             *self.served[hit.kind].entry((hit.asked - BEGIN) / SECOND).or_default() += within;
         }
         let (last, now) = (hit.over, Time::at(self.now));
-        self.marshals[me].completed(&mut self.doors[me], now, (id, hop), fate, last, latency);
+        self.marshals[me].on_forward_completed(&mut self.doors[me], now, (id, hop), fate, last, latency);
         self.acts(me);
     }
 
@@ -311,7 +312,7 @@
                         self.nodes[node as usize].queue.push_back((me, id, hop));
                         self.work(node as usize);
                     }
-                    Act::Cancel(id, hop) => self.ended(me, id, hop, Fate::Cancelled),
+                    Act::Cancel(id, hop) => self.ended(me, id, hop, ForwardOutcome::Cancelled),
                     Act::Bounce(id, wait) => {
                         let Some(hit) = self.hits[me].get_mut(&id) else { continue };
                         let (kind, asked, tries) = (hit.kind, hit.asked, hit.tries);
@@ -337,7 +338,7 @@
     }
 }
 
-const TAGGED: Effect = Effect::Tagged { scope: Scope::All, memory: Span::millis(3_000) };
+const TAGGED: Effect = Effect::Tagged { scope: DedupScope::All, dedup_window: Span::millis(3_000) };
 
 fn kind(share: f64, target_ms: u64, timeout_ms: u64, benefit: f64, effect: Effect) -> Kind {
     Kind { share, work_ms: 60.0, target_ms, timeout_ms, benefit, effect }
--- a/tests/stories.rs
+++ b/tests/stories.rs
@@ -5,8 +5,8 @@
 use fake::*;
 use rstest::rstest;
 use stonescale::host::*;
+use stonescale::settings::*;
 use stonescale::state::{Node, Nodes};
-use stonescale::terms::*;
 use stonescale::time::{Span, Time};
 
 const OLD: u16 = 4;
@@ -16,7 +16,7 @@
 fn fleet_of(site: Site, nodes: u64) -> Story {
     let mut s = site.open();
     s.ready(0..nodes, OLD);
-    s.stage(OLD, 2, Standing::Released, 1.0);
+    s.stage(OLD, 2, BuildStatus::Released, 1.0);
     s
 }
 
@@ -28,7 +28,7 @@
 fn trial_of(site: Site, new: u64) -> Story {
     let mut s = fleet_of(site, 10);
     s.traffic(600, READ, fine);
-    s.stage(NEW, 0, Standing::OnTrial, 0.5);
+    s.stage(NEW, 0, BuildStatus::OnTrial, 0.5);
     s.ready(100..100 + new, NEW);
     s
 }
@@ -37,8 +37,8 @@
     trial_of(site(), new)
 }
 
-fn fine(_: u64) -> (Fate, u64) {
-    (Fate::Ok, 60)
+fn fine(_: u64) -> (ForwardOutcome, u64) {
+    (ForwardOutcome::Ok, 60)
 }
 
 // ---- One answer, in time, and nothing after ----
@@ -61,7 +61,7 @@
 #[rstest]
 fn without_nodes_a_hit_is_held_then_bounced_at_once_when_given_up() {
     let mut s = site().open();
-    s.stage(OLD, 2, Standing::Released, 1.0);
+    s.stage(OLD, 2, BuildStatus::Released, 1.0);
     let hit = s.take(BOOK);
     s.pass(Span::millis(100));
     assert!(!s.called(Call::Bounce(hit)));
@@ -72,7 +72,7 @@
 #[rstest]
 fn a_held_hit_goes_when_a_node_comes() {
     let mut s = site().open();
-    s.stage(OLD, 2, Standing::Released, 1.0);
+    s.stage(OLD, 2, BuildStatus::Released, 1.0);
     let hit = s.take(BOOK);
     s.ready(3..4, OLD);
     assert_eq!(s.went(hit), [3]);
@@ -85,21 +85,21 @@
     let hit = s.take(READ);
     s.pass(Span::millis(300));
     assert_eq!(s.went(hit).len(), 2);
-    s.end(hit, 1, Fate::Ok, 50);
+    s.end(hit, 1, ForwardOutcome::Ok, 50);
     assert!(s.called(Call::Cancel(hit, 0)));
 }
 
 // ---- No double effect ----
 
 #[rstest]
-#[case(READ, Fate::Error, 2, false)]
-#[case(PUSH, Fate::Error, 2, false)]
-#[case(BOOK, Fate::Error, 1, true)]
-#[case(BOOK, Fate::Reset, 1, true)]
-#[case(BOOK, Fate::Rejected, 2, false)]
-#[case(BOOK, Fate::Unreached, 2, false)]
+#[case(READ, ForwardOutcome::Error, 2, false)]
+#[case(PUSH, ForwardOutcome::Error, 2, false)]
+#[case(BOOK, ForwardOutcome::Error, 1, true)]
+#[case(BOOK, ForwardOutcome::Reset, 1, true)]
+#[case(BOOK, ForwardOutcome::Rejected, 2, false)]
+#[case(BOOK, ForwardOutcome::Unreached, 2, false)]
 fn what_may_run_again_does(
-    #[case] group: usize, #[case] fate: Fate, #[case] sent: usize, #[case] errored: bool,
+    #[case] group: usize, #[case] fate: ForwardOutcome, #[case] sent: usize, #[case] errored: bool,
 ) {
     let mut s = fleet(4);
     let hit = s.take(group);
@@ -111,15 +111,15 @@
 #[rstest]
 fn a_tagged_hit_stays_where_its_repeats_are_dropped() {
     let mut site = site();
-    site.groups[PUSH].effect = Effect::Tagged { scope: Scope::Zone, memory: Span::millis(100) };
+    site.groups[PUSH].effect = Effect::Tagged { scope: DedupScope::Zone, dedup_window: Span::millis(100) };
     let mut s = fleet_of(site, 6);
     let hit = s.take(PUSH);
-    s.end(hit, 0, Fate::Error, 5);
+    s.end(hit, 0, ForwardOutcome::Error, 5);
     let went = s.went(hit);
     assert_eq!(went.len(), 2);
     assert_eq!(went[0] % 2, went[1] % 2);
     s.pass(Span::millis(99));
-    s.end(hit, 1, Fate::Error, 99);
+    s.end(hit, 1, ForwardOutcome::Error, 99);
     assert_eq!(s.went(hit).len(), 2, "the memory is over");
     assert!(s.called(Call::Error(hit)) && !s.called(Call::Bounce(hit)));
 }
@@ -147,7 +147,7 @@
     // With all nodes cold each failed hit went to the same open node again and again, and pushed it over.
     let mut s = fleet(0);
     s.list(&[(0, OLD, Readiness::Ready), (2, OLD, Readiness::Ready)], Some(Span::ZERO));
-    let hits = s.traffic(100, READ, |_| (Fate::Error, 5)).len();
+    let hits = s.traffic(100, READ, |_| (ForwardOutcome::Error, 5)).len();
     assert!((1..=100).contains(&hits), "{hits} forwards of 100 hits");
     assert!((1..=100).all(|hit| s.went(hit).len() <= 1));
 }
@@ -158,10 +158,10 @@
     let cold: usize = (0..100)
         .map(|me| {
             let mut site = site();
-            site.listed.me = me;
+            site.listed.marshal_index = me;
             let mut s = site.open();
             s.ready(0..4, OLD);
-            s.stage(OLD, 2, Standing::Released, 1.0);
+            s.stage(OLD, 2, BuildStatus::Released, 1.0);
             s.list(&[(8, OLD, Readiness::Ready)], Some(Span::ZERO));
             s.traffic(5, READ, fine).iter().filter(|n| **n == 8).count()
         })
@@ -173,7 +173,7 @@
 fn held_hits_do_not_talk_cold_nodes_into_more() {
     // After a way back all nodes were cold, and each look at a held hit let them have more: one fell over.
     let mut s = site().open();
-    s.stage(OLD, 2, Standing::Released, 1.0);
+    s.stage(OLD, 2, BuildStatus::Released, 1.0);
     let cold: Vec<_> = (0..4).map(|id| (id, OLD, Readiness::Ready)).collect();
     s.list(&cold, Some(Span::ZERO));
     let hits: Vec<u32> = (0..40).map(|_| s.take(READ)).collect();
@@ -190,7 +190,7 @@
 #[case(0.0, 200, 0)]
 fn a_build_on_trial_gets_its_cap_and_no_more(#[case] cap: f64, #[case] hits: usize, #[case] most: usize) {
     let mut s = fleet(4);
-    s.stage(NEW, 0, Standing::OnTrial, cap);
+    s.stage(NEW, 0, BuildStatus::OnTrial, cap);
     s.ready(100..110, NEW);
     let went = s.traffic(hits, READ, fine);
     let new = went.iter().filter(|n| **n >= 100).count();
@@ -209,8 +209,8 @@
 fn on_the_way_back_with_the_earlier_nodes_gone_hits_are_bounced_not_forwarded() {
     let mut s = site().open();
     s.ready(100..104, NEW);
-    s.stage(NEW, 2, Standing::OnTrial, 1.0);
-    s.stage(NEW, 2, Standing::GoingBack, 0.0);
+    s.stage(NEW, 2, BuildStatus::OnTrial, 1.0);
+    s.stage(NEW, 2, BuildStatus::GoingBack, 0.0);
     let hit = s.take(BOOK);
     s.pass(SECOND);
     assert!(s.went(hit).is_empty() && s.called(Call::Bounce(hit)));
@@ -219,11 +219,11 @@
 #[rstest]
 fn closed_stages_and_counting_by_path_group_are_kept() {
     let mut site = site();
-    (site.trial.closed_stages, site.trial.by_group) = (1, true);
+    (site.trial.repeatable_only_stages, site.trial.per_group) = (1, true);
     let mut s = trial_of(site, 5);
     s.traffic(60, READ, fine);
     assert!(s.traffic(40, PUSH, fine).iter().all(|n| *n < 100));
-    s.stage(NEW, 1, Standing::OnTrial, 0.1);
+    s.stage(NEW, 1, BuildStatus::OnTrial, 0.1);
     let new = s.traffic(100, PUSH, fine).iter().filter(|n| **n >= 100).count();
     assert!((5..=12).contains(&new), "{new} of 100 hits of this path group at a cap of a tenth");
 }
@@ -231,37 +231,37 @@
 #[rstest]
 fn a_key_that_the_new_build_answered_does_not_return_until_it_goes_back() {
     let mut site = site();
-    site.trial.no_return = true;
+    site.trial.sticky_keys = true;
     let mut s = trial_of(site, 3);
     let first = s.take_keyed(READ, 77);
     assert!(s.went(first)[0] >= 100);
-    s.end(first, 0, Fate::Ok, 60);
-    s.stage(NEW, 0, Standing::OnTrial, 0.0);
+    s.end(first, 0, ForwardOutcome::Ok, 60);
+    s.stage(NEW, 0, BuildStatus::OnTrial, 0.0);
     let held = s.take_keyed(READ, 77);
     assert!(s.went(held).is_empty());
-    s.stage(NEW, 0, Standing::GoingBack, 0.0);
+    s.stage(NEW, 0, BuildStatus::GoingBack, 0.0);
     assert!(s.went(held)[0] < 100);
 }
 
 #[rstest]
 fn past_the_keys_that_are_remembered_new_ones_stay_with_the_earlier_build_while_it_has_nodes() {
     let mut site = site();
-    site.trial.no_return = true;
+    site.trial.sticky_keys = true;
     let mut s = site.open();
-    s.stage(NEW, 0, Standing::OnTrial, 1.0);
+    s.stage(NEW, 0, BuildStatus::OnTrial, 1.0);
     s.ready(100..103, NEW);
-    let known = stonescale::policy::MOST_KEYS as u64;
+    let known = stonescale::policy::MAX_ANSWERED_KEYS as u64;
     for key in 1..=known {
         s.forget();
         let hit = s.take_keyed(READ, key);
-        s.end(hit, 0, Fate::Ok, 60);
+        s.end(hit, 0, ForwardOutcome::Ok, 60);
     }
     s.ready(0..10, OLD);
     let mut went = |key: u64| {
         let hit = s.take_keyed(READ, key);
         s.pass(Span::millis(10));
         let node = s.went(hit).first().copied();
-        s.end(hit, 0, Fate::Ok, 60);
+        s.end(hit, 0, ForwardOutcome::Ok, 60);
         node
     };
     // A key of the new build waits where its lot falls on no node of that.
@@ -288,7 +288,15 @@
     let mut s = trial(4);
     assert_eq!(s.votes(Verdict::Hold), 1);
     let now = s.now;
-    s.marshal.told_stage(&mut s.book, now, (NEW, 0), Standing::OnTrial, 0.5, Span::ZERO, Some(Fate::Ok));
+    s.marshal.on_stage(
+        &mut s.book,
+        now,
+        (NEW, 0),
+        BuildStatus::OnTrial,
+        0.5,
+        Span::ZERO,
+        Some(ForwardOutcome::Ok),
+    );
     s.pass(SECOND);
     assert_eq!(s.votes(Verdict::None), 0);
     s.pass(SECOND * 2.5);
@@ -298,7 +306,7 @@
 #[rstest]
 fn under_votes_a_good_stage_is_voted_on() {
     let mut site = site();
-    site.ballot.control = Control::Votes;
+    site.ballot.control = StageControl::Votes;
     let mut s = trial_of(site, 4);
     s.traffic(400, READ, fine);
     assert!(s.votes(Verdict::On) > 0);
@@ -306,14 +314,14 @@
 }
 
 #[rstest]
-#[case::errors((Fate::Error, 5))]
-#[case::slow((Fate::Ok, 900))]
-fn a_build_that_fails_on_its_nodes_goes_back(#[case] every_third: (Fate, u64)) {
+#[case::errors((ForwardOutcome::Error, 5))]
+#[case::slow((ForwardOutcome::Ok, 900))]
+fn a_build_that_fails_on_its_nodes_goes_back(#[case] every_third: (ForwardOutcome, u64)) {
     let mut s = trial(4);
     let mut count = 0;
     s.traffic(1500, READ, |node| {
         count += usize::from(node >= 100);
-        if node >= 100 && count % 3 == 0 { every_third } else { (Fate::Ok, 60) }
+        if node >= 100 && count % 3 == 0 { every_third } else { (ForwardOutcome::Ok, 60) }
     });
     assert!(s.votes(Verdict::Back) > 0);
 }
@@ -321,7 +329,11 @@
 #[rstest]
 fn one_sick_node_does_not_send_a_good_build_back() {
     let mut s = trial(4);
-    s.traffic(300, READ, |node| if node == 101 { (Fate::Error, 5) } else { (Fate::Ok, 60) });
+    s.traffic(
+        300,
+        READ,
+        |node| if node == 101 { (ForwardOutcome::Error, 5) } else { (ForwardOutcome::Ok, 60) },
+    );
     assert_eq!(s.votes(Verdict::Back), 0);
 }
 
@@ -329,7 +341,9 @@
 fn as_many_sick_nodes_are_spared_as_there_are_elsewhere() {
     let mut s = trial(3);
     let sick = [1, 2, 101, 102];
-    s.traffic(300, READ, |node| if sick.contains(&node) { (Fate::Error, 5) } else { (Fate::Ok, 60) });
+    s.traffic(300, READ, |node| {
+        if sick.contains(&node) { (ForwardOutcome::Error, 5) } else { (ForwardOutcome::Ok, 60) }
+    });
     assert_eq!(s.votes(Verdict::Back), 0);
 }
 
@@ -344,14 +358,18 @@
     let mut s = trial(9);
     s.traffic(60, READ, fine);
     s.traffic(60, BOOK, fine);
-    s.stage(NEW, 2, Standing::OnTrial, 1.0);
+    s.stage(NEW, 2, BuildStatus::OnTrial, 1.0);
     s.list(&(0..10).map(|id| (id, OLD, Readiness::Draining)).collect::<Vec<_>>(), None);
     let mut count = 0;
     for _ in 0..books {
         s.traffic(reads, READ, fine);
         s.traffic(1, BOOK, |node| {
             count += u32::from(node >= 100);
-            if node >= 100 && count.is_multiple_of(one_in) { (Fate::Error, 5) } else { (Fate::Ok, 60) }
+            if node >= 100 && count.is_multiple_of(one_in) {
+                (ForwardOutcome::Error, 5)
+            } else {
+                (ForwardOutcome::Ok, 60)
+            }
         });
     }
     assert_eq!(s.votes(Verdict::Back) > 0, back);
@@ -365,7 +383,7 @@
         s.pass(Span::millis(10));
         for (hop, node) in s.went(hit).into_iter().enumerate() {
             if node < 100 {
-                s.end(hit, hop as u8, Fate::Ok, 60);
+                s.end(hit, hop as u8, ForwardOutcome::Ok, 60);
             }
         }
     }
@@ -380,12 +398,12 @@
     s.traffic(300, READ, fine);
     let gone: Vec<_> = (0..10).map(|id| (id, OLD, Readiness::Gone)).collect();
     s.list(&gone, None);
-    s.stage(NEW, 2, Standing::Released, 1.0);
+    s.stage(NEW, 2, BuildStatus::Released, 1.0);
     s.pass(SECOND * 6.0);
     let mut count = 0;
     s.traffic(150, READ, |_| {
         count += 1;
-        (Fate::Ok, if count % 4 == 0 { 600 } else { 60 })
+        (ForwardOutcome::Ok, if count % 4 == 0 { 600 } else { 60 })
     });
     assert_eq!(s.votes(Verdict::Back), 0);
 }
@@ -393,7 +411,7 @@
 #[rstest]
 fn the_first_build_of_all_is_never_voted_back() {
     let mut s = fleet(4);
-    s.traffic(100, READ, |_| (Fate::Error, 5));
+    s.traffic(100, READ, |_| (ForwardOutcome::Error, 5));
     assert_eq!(s.votes(Verdict::Back), 0);
 }
 
@@ -405,7 +423,7 @@
     s.traffic(100, READ, fine);
     for _ in 0..reports {
         let now = s.now;
-        s.marshal.flagged(now, 101, READ, Span::millis(500));
+        s.marshal.on_wrong_answer_report(now, 101, READ, Span::millis(500));
     }
     s.pass(SECOND);
     assert_eq!(s.votes(Verdict::Back) > 0, back);
@@ -416,12 +434,12 @@
 #[case::without_it(0.0, false)]
 fn a_fleet_that_slows_with_the_new_builds_share_sends_it_back(#[case] share: f64, #[case] back: bool) {
     let mut s = fleet(2);
-    s.traffic(600, READ, |_| (Fate::Ok, 20));
-    s.stage(NEW, 0, Standing::OnTrial, 0.0);
-    s.traffic(50, READ, |_| (Fate::Ok, 20));
-    s.stage(NEW, 0, Standing::OnTrial, share);
+    s.traffic(600, READ, |_| (ForwardOutcome::Ok, 20));
+    s.stage(NEW, 0, BuildStatus::OnTrial, 0.0);
+    s.traffic(50, READ, |_| (ForwardOutcome::Ok, 20));
+    s.stage(NEW, 0, BuildStatus::OnTrial, share);
     s.ready(100..102, NEW);
-    s.traffic(500, READ, |_| (Fate::Ok, 80));
+    s.traffic(500, READ, |_| (ForwardOutcome::Ok, 80));
     assert_eq!(s.votes(Verdict::Back) > 0, back);
 }
 
@@ -431,7 +449,7 @@
     let mut count = 0;
     let mut bad = |node: u64| {
         count += usize::from(node >= 100);
-        if node >= 100 && count % 2 == 0 { (Fate::Error, 5) } else { (Fate::Ok, 60) }
+        if node >= 100 && count % 2 == 0 { (ForwardOutcome::Error, 5) } else { (ForwardOutcome::Ok, 60) }
     };
     s.traffic(1500, READ, &mut bad);
     let cast = s.votes(Verdict::Back);
@@ -443,8 +461,9 @@
 fn holders_are_drawn_alike_and_few_more_than_the_clock_needs() {
     let holds = |me, marshals, needed| {
         let mut site = site();
-        (site.ballot.me, site.ballot.marshals, site.ballot.needed) = (me, marshals, needed);
-        site.ballot.holds = needed;
+        (site.ballot.marshal_index, site.ballot.marshal_count, site.ballot.votes_needed) =
+            (me, marshals, needed);
+        site.ballot.holds_needed = needed;
         trial_of(site, 2).votes(Verdict::Hold)
     };
     let holders = |marshals, needed| (0..marshals).map(|me| holds(me, marshals, needed)).sum::<usize>();
@@ -455,12 +474,12 @@
 fn who_votes_back_stays_when_a_stage_draws_other_voters() {
     let voted = |me| {
         let mut site = site();
-        (site.ballot.me, site.ballot.marshals, site.ballot.needed) = (me, 30, 2);
+        (site.ballot.marshal_index, site.ballot.marshal_count, site.ballot.votes_needed) = (me, 30, 2);
         let mut s = trial_of(site, 4);
-        let fails = |node| if node >= 100 { (Fate::Error, 5) } else { (Fate::Ok, 60) };
+        let fails = |node| if node >= 100 { (ForwardOutcome::Error, 5) } else { (ForwardOutcome::Ok, 60) };
         s.traffic(400, READ, fails);
         let before = s.votes(Verdict::Back);
-        s.stage(NEW, 1, Standing::OnTrial, 0.5);
+        s.stage(NEW, 1, BuildStatus::OnTrial, 0.5);
         s.traffic(50, READ, fails);
         (
             before,
@@ -479,15 +498,13 @@
 ) {
     let mut s = trial(4);
     for round in 0..40 {
-        s.traffic(
-            1,
-            READ,
-            |node| if node >= 100 && round % 2 == 0 { (Fate::Error, 5) } else { (Fate::Ok, 60) },
-        );
+        s.traffic(1, READ, |node| {
+            if node >= 100 && round % 2 == 0 { (ForwardOutcome::Error, 5) } else { (ForwardOutcome::Ok, 60) }
+        });
         s.pass(SECOND * 0.2);
         let now = s.now;
-        s.marshal.told_sums(now, (NEW, READ), (1000, bad));
-        s.marshal.told_sums(now, (OLD, READ), (1000, old));
+        s.marshal.on_platform_counts(now, (NEW, READ), (1000, bad));
+        s.marshal.on_platform_counts(now, (OLD, READ), (1000, old));
     }
     assert_eq!(s.votes(Verdict::Back) > 0, back);
 }
@@ -497,7 +514,7 @@
 #[case::alike(70, false)]
 fn a_build_slow_within_the_target_latency_goes_back(#[case] millis: u64, #[case] back: bool) {
     let mut s = trial(10);
-    s.traffic(900, READ, |node| (Fate::Ok, if node >= 100 { millis } else { 60 }));
+    s.traffic(900, READ, |node| (ForwardOutcome::Ok, if node >= 100 { millis } else { 60 }));
     assert_eq!(s.votes(Verdict::Back) > 0, back);
 }
 
@@ -507,28 +524,32 @@
 /// vote back; the platform takes 16 calls a second, and a vote stands for 4 s.
 fn one_of_many(me: usize, needed: usize, cap: f64) -> Story {
     let mut site = site();
-    site.ballot = Ballot {
-        me,
-        marshals: 300,
-        needed,
-        holds: 30,
-        stands: SECOND * 4.0,
+    site.ballot = VotingRules {
+        marshal_index: me,
+        marshal_count: 300,
+        votes_needed: needed,
+        holds_needed: 30,
+        vote_lifetime: SECOND * 4.0,
         calls_per_s: 16.0,
         ..site.ballot
     };
     let mut s = fleet_of(site, 10);
     s.traffic(600, READ, fine);
-    s.stage(NEW, 0, Standing::OnTrial, cap);
+    s.stage(NEW, 0, BuildStatus::OnTrial, cap);
     s.ready(100..106, NEW);
     s
 }
 
 /// So many forwards to the build on trial fail from the second on, and none after.
-fn fails(times: usize) -> impl FnMut(u64) -> (Fate, u64) {
+fn fails(times: usize) -> impl FnMut(u64) -> (ForwardOutcome, u64) {
     let mut met = 0;
     move |node| {
         met += usize::from(node >= 100);
-        if node >= 100 && (2..2 + times).contains(&met) { (Fate::Error, 5) } else { (Fate::Ok, 60) }
+        if node >= 100 && (2..2 + times).contains(&met) {
+            (ForwardOutcome::Error, 5)
+        } else {
+            (ForwardOutcome::Ok, 60)
+        }
     }
 }
 
@@ -561,7 +582,7 @@
         let mut s = one_of_many(*me, needed, 0.03);
         s.traffic(100, READ, fine);
         let now = s.now;
-        s.marshal.flagged(now, 101, READ, Span::millis(500));
+        s.marshal.on_wrong_answer_report(now, 101, READ, Span::millis(500));
         s.pass(SECOND * 4.0);
         s.votes(Verdict::Back) > 0
     };
@@ -585,8 +606,8 @@
                 assert!(in_turn(age) || in_turn(age - 0.1), "marshal {me} voted back at {age} s");
                 turned_away.push((me, age));
                 let now = s.now;
-                let (cap, reply) = (0.03, Some(Fate::Rejected));
-                s.marshal.told_stage(&mut s.book, now, (NEW, 0), Standing::OnTrial, cap, Span::ZERO, reply);
+                let (cap, reply) = (0.03, Some(ForwardOutcome::Rejected));
+                s.marshal.on_stage(&mut s.book, now, (NEW, 0), BuildStatus::OnTrial, cap, Span::ZERO, reply);
             }
         }
     }
@@ -628,7 +649,7 @@
 
 /// Marshals of twenty that vote back, where an earlier node ends its forwards as `earlier` says, by its number and
 /// its turn, and so many of the first forwards to the build on trial fail.
-fn backs(times: usize, earlier: impl Fn(u64, usize) -> (Fate, u64)) -> usize {
+fn backs(times: usize, earlier: impl Fn(u64, usize) -> (ForwardOutcome, u64)) -> usize {
     let voted = |me: &usize| {
         let mut s = one_of_many(*me, 75, 0.0);
         let mut turn = 0;
@@ -637,7 +658,7 @@
             earlier(node, turn)
         };
         s.traffic(1500, READ, &mut ends);
-        s.stage(NEW, 0, Standing::OnTrial, 0.03);
+        s.stage(NEW, 0, BuildStatus::OnTrial, 0.03);
         let mut bad = fails(times);
         s.traffic(450, READ, |node| if node < 100 { ends(node) } else { bad(node) });
         s.votes(Verdict::Back) > 0
@@ -647,12 +668,14 @@
 
 #[rstest]
 fn lateness_that_strikes_all_builds_does_not_hide_the_failures_of_one_from_many() {
-    assert!(backs(1, |_, turn| (Fate::Ok, if turn % 6 == 0 { 410 } else { 60 })) > 10);
+    assert!(backs(1, |_, turn| (ForwardOutcome::Ok, if turn % 6 == 0 { 410 } else { 60 })) > 10);
 }
 
 #[rstest]
 fn of_many_each_spares_the_part_that_looks_sick_elsewhere_not_all_it_met() {
-    assert!(backs(2, |node, _| if node < 2 { (Fate::Error, 5) } else { (Fate::Ok, 60) }) > 10);
+    assert!(
+        backs(2, |node, _| if node < 2 { (ForwardOutcome::Error, 5) } else { (ForwardOutcome::Ok, 60) }) > 10
+    );
 }
 
 #[rstest]
@@ -664,12 +687,12 @@
         let mut s = one_of_many(*me, needed, 0.0);
         let spell = |s: &mut Story, hits: usize, gap: u64, millis: u64| {
             for _ in 0..hits {
-                s.traffic(1, READ, |_| (Fate::Ok, millis));
+                s.traffic(1, READ, |_| (ForwardOutcome::Ok, millis));
                 s.pass(Span::millis(gap - 10));
             }
         };
         spell(&mut s, 60, 200, 60);
-        s.stage(NEW, 0, Standing::OnTrial, 0.5);
+        s.stage(NEW, 0, BuildStatus::OnTrial, 0.5);
         spell(&mut s, 50, 133, 110);
         s.votes(Verdict::Back) > 0
     };
@@ -680,7 +703,7 @@
 fn a_light_marshal_uses_few_nodes_and_each_marshal_others() {
     let used = |me| {
         let mut site = site();
-        site.listed.me = me;
+        site.listed.marshal_index = me;
         let mut s = fleet_of(site, 60);
         let mut met = std::collections::BTreeSet::new();
         for _ in 0..60 {
@@ -697,7 +720,7 @@
 #[rstest]
 fn a_failing_node_is_left_alone_and_tried_again_later() {
     let mut s = fleet(5);
-    let mut sick = |node: u64| if node == 2 { (Fate::Error, 1) } else { (Fate::Ok, 60) };
+    let mut sick = |node: u64| if node == 2 { (ForwardOutcome::Error, 1) } else { (ForwardOutcome::Ok, 60) };
     s.traffic(100, BOOK, &mut sick);
     let went = s.traffic(100, BOOK, &mut sick);
     assert!(went.iter().filter(|n| **n == 2).count() < 10, "fast failures look idle");
@@ -720,7 +743,7 @@
                     let hop = sent.iter().filter(|f: &&(u32, u8, Time)| f.0 == hit).count() as u8;
                     sent.push((hit, hop, s.now));
                 }
-                Call::Cancel(hit, hop) => s.end(hit, hop, Fate::Cancelled, 400),
+                Call::Cancel(hit, hop) => s.end(hit, hop, ForwardOutcome::Cancelled, 400),
                 Call::Bounce(_) => bounced += 1,
                 _ => {}
             }
@@ -729,7 +752,7 @@
         let now = s.now;
         let due = sent.iter().enumerate().filter(|(at, f)| at % 3 > 0 && now - f.2 == Span::millis(60));
         for (_, (hit, hop, _)) in due.map(|(at, f)| (at, *f)).collect::<Vec<_>>() {
-            s.end(hit, hop, Fate::Ok, 60);
+            s.end(hit, hop, ForwardOutcome::Ok, 60);
         }
     }
     assert!(bounced < 300 && used.iter().all(|n| *n > 200), "{bounced} bounced, {used:?}");
@@ -738,14 +761,14 @@
 #[rstest]
 fn what_an_earlier_process_lost_is_not_held_against_the_one_that_came_back() {
     let mut site = site();
-    site.warm_up.span = Span::millis(10);
+    site.warm_up.duration = Span::millis(10);
     let mut s = fleet_of(site, 2);
     let hits: Vec<u32> = (0..40).map(|_| s.take(BOOK)).collect();
     s.pass(Span::millis(20));
     s.list(&[(1, OLD, Readiness::Ready)], Some(Span::millis(10)));
     let to_the_earlier: Vec<u32> = hits.into_iter().filter(|h| s.went(*h) == [1]).collect();
     assert!(to_the_earlier.len() >= 3, "{to_the_earlier:?}");
-    to_the_earlier.into_iter().for_each(|h| s.end(h, 0, Fate::Reset, 20));
+    to_the_earlier.into_iter().for_each(|h| s.end(h, 0, ForwardOutcome::Reset, 20));
     s.pass(SECOND * 0.1);
     assert!(s.traffic(20, BOOK, fine).iter().filter(|n| **n == 1).count() >= 5);
 }
@@ -754,9 +777,9 @@
 fn nodes_that_are_gone_are_forgotten_and_their_ids_may_come_back() {
     let mut nodes = Nodes::default();
     let list = |nodes: &mut Nodes, id: u64, ready| {
-        nodes.opens(false);
-        nodes.entry(Node::listed(id, Place::default(), ready, OLD, Time::at(0)));
-        nodes.closes();
+        nodes.begin_list(false);
+        nodes.update_entry(Node::new(id, NodeAttributes::default(), ready, OLD, Time::at(0)));
+        nodes.end_list();
     };
     for id in 0..1000 {
         list(&mut nodes, id, Readiness::Ready);
@@ -773,7 +796,7 @@
     // A platform that fell silent at half the way: all nodes are of the build on trial.
     let mut s = fleet(4);
     s.traffic(100, BOOK, fine);
-    s.stage(NEW, 1, Standing::OnTrial, 0.5);
+    s.stage(NEW, 1, BuildStatus::OnTrial, 0.5);
     s.ready(0..4, NEW);
     let (mut hits, mut went) = ([Vec::new(), Vec::new()], [0, 0]);
     for _ in 0..200 {
@@ -783,7 +806,7 @@
         for (hits, went) in std::iter::zip(&mut hits, &mut went) {
             let sent: Vec<u32> = hits.extract_if(.., |hit| !s.went(*hit).is_empty()).collect();
             *went += sent.len();
-            sent.into_iter().for_each(|hit| s.end(hit, 0, Fate::Ok, 10));
+            sent.into_iter().for_each(|hit| s.end(hit, 0, ForwardOutcome::Ok, 10));
         }
     }
     let [cheap, dear] = went;
@@ -806,14 +829,14 @@
 #[rstest]
 fn overload_sheds_the_least_benefit_first_but_not_all_of_it() {
     let mut s = fleet(2);
-    s.traffic(100, READ, |_| (Fate::Ok, 150));
+    s.traffic(100, READ, |_| (ForwardOutcome::Ok, 150));
     let (mut cheap, mut dear) = (0, 0);
     for _ in 0..20 {
         let hits: Vec<(u32, u32)> = (0..20).map(|_| (s.take(READ), s.take(BOOK))).collect();
         cheap += hits.iter().filter(|h| !s.called(Call::Bounce(h.0))).count();
         dear += hits.iter().filter(|h| !s.called(Call::Bounce(h.1))).count();
         for hit in hits.iter().flat_map(|h| [h.0, h.1]) {
-            (0..s.went(hit).len()).for_each(|hop| s.end(hit, hop as u8, Fate::Ok, 150));
+            (0..s.went(hit).len()).for_each(|hop| s.end(hit, hop as u8, ForwardOutcome::Ok, 150));
         }
         s.pass(SECOND);
     }
@@ -824,7 +847,7 @@
 fn shedding_ends_when_the_trouble_is_over() {
     // With every hit shed nothing was learnt any more, and the fleet looked slow for ever.
     let mut s = fleet(3);
-    s.traffic(300, READ, |_| (Fate::Ok, 900));
+    s.traffic(300, READ, |_| (ForwardOutcome::Ok, 900));
     s.traffic(1500, READ, fine);
     assert!(s.traffic(100, READ, fine).len() >= 95);
 }
@@ -832,18 +855,18 @@
 #[rstest]
 fn a_tenant_past_its_share_is_shed_before_the_others() {
     let mut site = site();
-    site.tenancy = Tenancy { shares: vec![0.5, 0.5], over_share: 0.05 };
+    site.tenancy = Tenancy { shares: vec![0.5, 0.5], over_share_factor: 0.05 };
     let mut s = fleet_of(site, 4);
     s.traffic(200, READ, fine);
     let mut bounced = [0, 0];
     for at in 0..400u32 {
         let (tenant, id) = (usize::from(at % 10 == 0), 10_000 + at);
         let now = s.now;
-        s.marshal.taken(&mut s.book, now, id, (BOOK, tenant), 0, SECOND, None);
+        s.marshal.on_hit(&mut s.book, now, id, (BOOK, tenant), 0, SECOND, None);
         bounced[tenant] += usize::from(s.called(Call::Bounce(id)));
         if at % 40 == 39 {
             let went: Vec<u32> = (id - 39..=id).filter(|id| !s.went(*id).is_empty()).collect();
-            went.into_iter().for_each(|id| s.end(id, 0, Fate::Ok, 60));
+            went.into_iter().for_each(|id| s.end(id, 0, ForwardOutcome::Ok, 60));
             s.pass(SECOND);
         }
     }
@@ -853,28 +876,31 @@
 #[rstest]
 fn the_list_is_asked_again_with_growing_waits() {
     let mut site = site();
-    site.listed.asked = true;
+    site.listed.on_request = true;
     let mut s = site.open();
     let asked = |s: &Story| s.book.calls.iter().filter(|c| **c == Call::Watch).count();
     assert_eq!(asked(&s), 1);
     for _ in 0..6 {
         let now = s.now;
-        s.marshal.told_list_failed(&mut s.book, now);
+        s.marshal.on_list_failed(&mut s.book, now);
         s.pass(SECOND * 8.0);
     }
     assert_eq!(asked(&s), 7);
     let now = s.now;
-    s.marshal.told_list_failed(&mut s.book, now);
+    s.marshal.on_list_failed(&mut s.book, now);
     s.pass(Span::millis(800));
     assert_eq!(asked(&s), 7, "by now the wait is longer than the first");
 }
 
 #[rstest]
 fn the_same_events_give_the_same_actions() {
-    let run = || {
-        let mut s = trial(3);
-        s.traffic(200, PUSH, |node| if node == 4 { (Fate::Error, 5) } else { (Fate::Ok, 60) });
-        s.book.calls
-    };
+    let run =
+        || {
+            let mut s = trial(3);
+            s.traffic(200, PUSH, |node| {
+                if node == 4 { (ForwardOutcome::Error, 5) } else { (ForwardOutcome::Ok, 60) }
+            });
+            s.book.calls
+        };
     assert_eq!(run(), run());
 }
