--- a/crates/budget/src/buffer.rs
+++ b/crates/budget/src/buffer.rs
@@ -1,154 +1,158 @@
-//! A buffer of bytes, appended at its end and consumed at its front. Its capacity is charged before it grows, so that
-//! what it really occupies is what the ledger knows of.
+//! A byte buffer that is appended to at its end and consumed at its front. Its capacity is charged before it grows,
+//! so that the ledger knows what the buffer really allocates.
 
-use crate::ledger::{Charge, Ledger, Refused};
+use crate::ledger::{BudgetExceeded, Charge, Ledger};
 use crate::purpose::Purpose;
 use std::ops::Range;
 
-/// The smallest capacity: most commands and answers fit.
-pub const LEAST: usize = 512;
-/// One part in so many that a block may occupy beyond its length.
-const ROUNDING: usize = 8;
+/// The smallest capacity; most commands and answers fit.
+pub const MIN_CAPACITY_BYTES: usize = 512;
+/// A buffer becomes a block without a copy only if its unused capacity is at most its length divided by this.
+const MAX_UNUSED_DIVISOR: usize = 8;
 
 pub struct Buffer {
     bytes: Vec<u8>,
     /// Bytes at the front that are consumed.
-    head: usize,
-    /// Bytes of its capacity that are charged with what it belongs to: small messages never wait for room.
-    own: usize,
+    consumed: usize,
+    /// Bytes of the capacity that are charged with the owner of the buffer: small messages never wait for memory.
+    prepaid: usize,
     charge: Charge,
 }
 
 impl Buffer {
-    /// An empty buffer, which holds nothing yet.
+    /// An empty buffer without capacity.
     pub fn new(ledger: &Ledger, purpose: Purpose) -> Self {
-        Buffer { bytes: Vec::new(), head: 0, own: 0, charge: ledger.open(purpose) }
+        Buffer { bytes: Vec::new(), consumed: 0, prepaid: 0, charge: ledger.empty_charge(purpose) }
     }
 
-    /// One whose first `LEAST` bytes are charged already, with the connection that it belongs to.
-    pub fn with_own(ledger: &Ledger, purpose: Purpose) -> Self {
-        Buffer { own: LEAST, ..Buffer::new(ledger, purpose) }
+    /// An empty buffer whose first `MIN_CAPACITY_BYTES` are charged already, with the connection that owns it.
+    pub fn with_prepaid(ledger: &Ledger, purpose: Purpose) -> Self {
+        Buffer { prepaid: MIN_CAPACITY_BYTES, ..Buffer::new(ledger, purpose) }
     }
 
     pub fn as_slice(&self) -> &[u8] {
-        &self.bytes[self.head..]
+        &self.bytes[self.consumed..]
     }
 
     pub fn len(&self) -> usize {
-        self.bytes.len() - self.head
+        self.bytes.len() - self.consumed
     }
 
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Bytes that it occupies beyond its own.
-    pub fn occupies(&self) -> usize {
+    /// Bytes that are charged for it, besides the prepaid ones.
+    pub fn charged_bytes(&self) -> usize {
         self.charge.bytes()
     }
 
     /// Bytes that can be appended without growing.
-    pub fn spare(&self) -> usize {
+    pub fn spare_capacity(&self) -> usize {
         self.bytes.capacity() - self.len()
     }
 
-    /// Makes sure that `more` bytes fit; refused, nothing changes.
-    pub fn reserve(&mut self, more: usize) -> Result<(), Refused> {
-        let wanted = self.len() + more;
-        if self.bytes.len() + more <= self.bytes.capacity() {
+    /// Ensures that `additional` bytes fit; on failure nothing changes.
+    pub fn reserve(&mut self, additional: usize) -> Result<(), BudgetExceeded> {
+        let required = self.len() + additional;
+        if self.bytes.len() + additional <= self.bytes.capacity() {
             return Ok(());
         }
-        if wanted > self.bytes.capacity() {
-            // Doubling keeps the copying down; where there is no room for that, just what is needed will do.
-            let roomy = wanted.max(2 * self.bytes.capacity()).max(LEAST);
-            let roomy = self.charge.resize(roomy.saturating_sub(self.own)).map(|()| roomy);
-            let size = match roomy {
-                Ok(roomy) => roomy,
-                Err(_) => self.charge.resize(wanted.saturating_sub(self.own)).map(|()| wanted)?,
+        if required > self.bytes.capacity() {
+            // Doubles the capacity to limit copying; falls back to the required size if that is not available.
+            let doubled = required.max(2 * self.bytes.capacity()).max(MIN_CAPACITY_BYTES);
+            let doubled = self.charge.resize(doubled.saturating_sub(self.prepaid)).map(|()| doubled);
+            let capacity = match doubled {
+                Ok(doubled) => doubled,
+                Err(_) => self.charge.resize(required.saturating_sub(self.prepaid)).map(|()| required)?,
             };
-            let mut grown = Vec::with_capacity(size);
+            let mut grown = Vec::with_capacity(capacity);
             grown.extend_from_slice(self.as_slice());
             self.bytes = grown;
         } else {
-            self.bytes.drain(..self.head);
+            self.bytes.drain(..self.consumed);
         }
-        self.head = 0;
+        self.consumed = 0;
         Ok(())
     }
 
-    /// Appends; refused, nothing changes.
-    pub fn extend(&mut self, bytes: &[u8]) -> Result<(), Refused> {
+    /// Appends `bytes`; on failure nothing changes.
+    pub fn extend(&mut self, bytes: &[u8]) -> Result<(), BudgetExceeded> {
         self.reserve(bytes.len())?;
         self.bytes.extend_from_slice(bytes);
         Ok(())
     }
 
-    /// Drops `taken` bytes at the front; emptied, it gives back what is over `keep` bytes.
-    pub fn consume(&mut self, taken: usize, keep: usize) {
-        self.head += taken.min(self.len());
+    /// Removes `count` bytes at the front. If that empties the buffer, a capacity over `max_retained` bytes is
+    /// released.
+    pub fn consume(&mut self, count: usize, max_retained: usize) {
+        self.consumed += count.min(self.len());
         if self.is_empty() {
             self.bytes.clear();
-            self.head = 0;
-            if self.bytes.capacity() > keep {
+            self.consumed = 0;
+            if self.bytes.capacity() > max_retained {
                 self.release();
             }
         }
     }
 
-    /// Gives back what an empty buffer occupies; returns how many bytes that were.
+    /// Releases the capacity of an empty buffer; returns the number of bytes that were charged for it.
     pub fn release(&mut self) -> usize {
         if !self.is_empty() {
             return 0;
         }
         self.bytes = Vec::new();
-        self.head = 0;
-        let held = self.charge.bytes();
-        // Shrinking is never refused.
+        self.consumed = 0;
+        let charged = self.charge.bytes();
+        // Shrinking always succeeds.
         let _ = self.charge.resize(0);
-        held
+        charged
     }
 
-    /// Takes the first `length` bytes out as a block that is charged to `to`; refused, nothing changes. A buffer that
-    /// holds just these hands over its own memory; else they are copied, and counted twice while they stand twice.
-    pub fn take(&mut self, length: usize, to: Purpose) -> Result<Block, Refused> {
-        self.take_with(length, to, 0)
+    /// Removes the first `length` bytes as a block that is charged to `to`; on failure nothing changes. A buffer
+    /// that holds exactly these bytes hands over its memory; otherwise they are copied, and charged twice while
+    /// both copies exist.
+    pub fn take_block(&mut self, length: usize, to: Purpose) -> Result<Block, BudgetExceeded> {
+        self.take_block_with_extra(length, to, 0)
     }
 
-    /// The same, with `more` bytes charged besides, for what is kept along with the block.
-    pub fn take_with(&mut self, length: usize, to: Purpose, more: usize) -> Result<Block, Refused> {
+    /// Like `take_block`, with `extra` bytes charged in addition, for what is kept along with the block.
+    pub fn take_block_with_extra(
+        &mut self, length: usize, to: Purpose, extra: usize,
+    ) -> Result<Block, BudgetExceeded> {
         let length = length.min(self.len());
         let ledger = self.charge.ledger();
-        let alone = length == self.len() && self.head == 0;
-        if alone && self.bytes.capacity() - length <= length / ROUNDING {
-            let (from, size) = (self.charge.purpose(), self.charge.bytes());
-            self.charge.shift(to)?;
-            if let Err(refused) = self.charge.resize(self.bytes.capacity() + more) {
-                // Back to where it came from, with what it held there.
-                self.charge.resize(size).and_then(|()| self.charge.shift(from))?;
-                return Err(refused);
+        let whole_buffer = length == self.len() && self.consumed == 0;
+        if whole_buffer && self.bytes.capacity() - length <= length / MAX_UNUSED_DIVISOR {
+            let (from, charged) = (self.charge.purpose(), self.charge.bytes());
+            self.charge.transfer(to)?;
+            if let Err(error) = self.charge.resize(self.bytes.capacity() + extra) {
+                // Restores the charge at the old purpose with its old size.
+                self.charge.resize(charged).and_then(|()| self.charge.transfer(from))?;
+                return Err(error);
             }
-            let charge = std::mem::replace(&mut self.charge, ledger.open(from));
+            let charge = std::mem::replace(&mut self.charge, ledger.empty_charge(from));
             let bytes = std::mem::take(&mut self.bytes);
             return Ok(Block { range: 0..bytes.len(), bytes, charge });
         }
-        let charge = ledger.charge(to, length + more)?;
+        let charge = ledger.charge(to, length + extra)?;
         let bytes = self.as_slice()[..length].to_vec();
-        self.consume(length, LEAST);
+        self.consume(length, MIN_CAPACITY_BYTES);
         Ok(Block { range: 0..length, bytes, charge })
     }
 }
 
-/// Bytes that do not change any more, and what they are charged to.
+/// Immutable bytes with their charge.
 pub struct Block {
     bytes: Vec<u8>,
-    /// Those that matter.
+    /// The part of `bytes` that is visible.
     range: Range<usize>,
     charge: Charge,
 }
 
 impl Block {
-    /// A copy of `bytes`, if there is room for it.
-    pub fn copy(ledger: &Ledger, purpose: Purpose, bytes: &[u8]) -> Result<Self, Refused> {
+    /// A copy of `bytes`, if they can be charged to the purpose.
+    pub fn copy(ledger: &Ledger, purpose: Purpose, bytes: &[u8]) -> Result<Self, BudgetExceeded> {
         let charge = ledger.charge(purpose, bytes.len())?;
         Ok(Block { bytes: bytes.to_vec(), range: 0..bytes.len(), charge })
     }
@@ -157,18 +161,19 @@
         &self.bytes[self.range.clone()]
     }
 
-    /// Only these bytes of it matter from now on; what lies outside is passed over.
+    /// Restricts the block to a range within its current one; the rest of its memory stays charged.
     pub fn narrow(&mut self, range: Range<usize>) {
         let (start, end) = (self.range.start, self.range.end);
         self.range = (start + range.start).min(end)..(start + range.end).min(end);
     }
 
-    /// It is held for another purpose from now on; refused, it stays where it is.
-    pub fn shift(&mut self, to: Purpose) -> Result<(), Refused> {
-        self.charge.shift(to)
+    /// Moves the charge to another purpose; on failure it stays where it is.
+    pub fn transfer(&mut self, to: Purpose) -> Result<(), BudgetExceeded> {
+        self.charge.transfer(to)
     }
 
-    pub fn occupies(&self) -> usize {
+    /// Bytes that are charged for it.
+    pub fn charged_bytes(&self) -> usize {
         self.charge.bytes()
     }
 }
--- /dev/null
+++ b/crates/budget/src/eviction.rs
@@ -0,0 +1,79 @@
+//! Selection of the client connections to close when memory is needed. An accepted hit is always answered: a
+//! connection with hits in flight is closed only after they are answered, or when its client reads none of its
+//! answers.
+
+use stonescale::time::{Span, Time};
+
+/// The state of a client connection that the selection depends on.
+#[derive(Clone, Copy, Debug)]
+pub struct ClientState {
+    /// Bytes of answers that the client has not read.
+    pub unsent_bytes: usize,
+    /// When it last read or sent anything.
+    pub last_activity: Time,
+    /// When the connection was accepted.
+    pub accepted_at: Time,
+    /// Number of commands received on it.
+    pub commands: u64,
+    /// It has hits in flight or not answered yet.
+    pub has_pending_hits: bool,
+    /// It is being closed already.
+    pub closing: bool,
+}
+
+impl ClientState {
+    fn inactive_for(&self, now: Time) -> Span {
+        now - self.last_activity
+    }
+
+    /// It has no hit in flight and no unsent answer.
+    fn is_idle(&self) -> bool {
+        !self.has_pending_hits && !self.closing && self.unsent_bytes == 0
+    }
+}
+
+fn matching_indices(clients: &[ClientState], matches: impl Fn(&ClientState) -> bool) -> Vec<usize> {
+    (0..clients.len()).filter(|index| matches(&clients[*index])).collect()
+}
+
+/// Selects at most `max_count` idle connections, the longest idle first. A client that has sent more than one
+/// command must be idle for `repeat_idle`, any other for `single_idle`. A client that asks repeatedly will ask
+/// again, and closing its connection would only bring the next one, while some clients ask once and keep their
+/// connection for good. A client that has sent nothing yet counts as one that asked once.
+pub fn select_idle(
+    clients: &[ClientState], now: Time, (repeat_idle, single_idle): (Span, Span), max_count: usize,
+) -> Vec<usize> {
+    let idle_timeout = |c: &ClientState| if c.commands > 1 { repeat_idle } else { single_idle };
+    let mut selected = matching_indices(clients, |c| c.is_idle() && c.inactive_for(now) >= idle_timeout(c));
+    selected.sort_by_key(|index| clients[*index].last_activity);
+    selected.truncate(max_count);
+    selected
+}
+
+/// Selects connections that have read none of their unsent answers for `stall_timeout`, the one with the most unsent
+/// bytes first, until `bytes` are freed. A client that reads slowly is not selected, as it is active.
+pub fn select_stalled(clients: &[ClientState], now: Time, stall_timeout: Span, bytes: usize) -> Vec<usize> {
+    let mut selected = matching_indices(clients, |c| {
+        c.unsent_bytes > 0 && !c.closing && c.inactive_for(now) >= stall_timeout
+    });
+    selected.sort_by_key(|index| std::cmp::Reverse(clients[*index].unsent_bytes));
+    let mut freed = 0;
+    selected.retain(|index| {
+        let needed = freed < bytes;
+        freed += clients[*index].unsent_bytes;
+        needed
+    });
+    selected
+}
+
+/// Selects at most `max_count` connections to be closed once their hits are answered, the longest connected first,
+/// each connected for at least `min_tenure`. This makes room for waiting clients when all connections are in use
+/// and none is idle: otherwise a flood that fills every connection would keep all other clients out for as long as
+/// it lasts.
+pub fn select_rotated(clients: &[ClientState], now: Time, min_tenure: Span, max_count: usize) -> Vec<usize> {
+    let mut selected =
+        matching_indices(clients, |c| c.commands > 0 && !c.closing && now - c.accepted_at >= min_tenure);
+    selected.sort_by_key(|index| clients[*index].accepted_at);
+    selected.truncate(max_count);
+    selected
+}
--- a/crates/budget/src/ledger.rs
+++ b/crates/budget/src/ledger.rs
@@ -1,7 +1,7 @@
-//! The ledger: charges by purpose, as guards. A charge belongs to one purpose at any moment; it grows and moves only
-//! where there is room, and gives back what it holds when it is dropped.
+//! The ledger of all purposes, with charges as RAII guards. A charge belongs to one purpose at any moment; it grows
+//! or moves only if bytes are available, and releases what it holds when it is dropped.
 
-use crate::level::{self, Gauge, Level};
+use crate::level::{self, Level, LevelTracker};
 use crate::plan::Plan;
 use crate::pool::{Account, Pool};
 use crate::purpose::{Purpose, rule};
@@ -9,19 +9,20 @@
 use std::collections::VecDeque;
 use std::rc::Rc;
 
-/// Changes of level that wait to be reported; past it the oldest are forgotten, as the report shows where it ended.
-const MOST_CHANGES: usize = 64;
+/// Level changes that wait to be reported. Beyond this the oldest are dropped; the report still shows the current
+/// level.
+const MAX_PENDING_CHANGES: usize = 64;
 
-/// There was no room for so many bytes more.
+/// A purpose could not be charged this many more bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Refused {
+pub struct BudgetExceeded {
     pub purpose: Purpose,
     pub bytes: usize,
 }
 
-/// A purpose that went from one level to another, with what it held then.
+/// A change of a purpose's level, with the bytes that it held then and its cap in bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Change {
+pub struct LevelChange {
     pub purpose: Purpose,
     pub from: Level,
     pub to: Level,
@@ -29,157 +30,162 @@
     pub cap: usize,
 }
 
-/// One purpose as reported.
+/// The state of one purpose in a report.
 #[derive(Clone, Copy, Debug)]
-pub struct Row {
+pub struct PurposeReport {
     pub purpose: Purpose,
     pub account: Account,
     pub level: Level,
-    /// Charges that were refused, and bytes that were given back under pressure, so far.
+    /// Charges refused, and bytes reclaimed under pressure, since the start.
     pub refusals: u64,
     pub reclaimed: u64,
-    /// How often the level changed.
+    /// Number of level changes since the start.
     pub changes: u64,
 }
 
 #[derive(Default)]
-struct Side {
-    gauge: Gauge,
+struct PressureStats {
+    tracker: LevelTracker,
     refusals: u64,
     reclaimed: u64,
 }
 
-struct Books {
+struct LedgerState {
     purposes: Vec<Purpose>,
     pool: Pool,
-    sides: Vec<Side>,
-    changes: VecDeque<Change>,
+    stats: Vec<PressureStats>,
+    changes: VecDeque<LevelChange>,
 }
 
-impl Books {
-    /// Looks at an account anew after it changed. That others' loans shrink its reach shows at its next change.
-    fn see(&mut self, at: usize) {
-        let account = self.pool.accounts()[at];
-        let side = &mut self.sides[at];
-        let from = side.gauge.level();
-        if side.gauge.see(account.held, account.held + self.pool.room(at)) {
-            let (to, purpose) = (side.gauge.level(), self.purposes[at]);
-            if self.changes.len() == MOST_CHANGES {
+impl LedgerState {
+    /// Updates the level of an account after it changed. Loans to other accounts, which reduce what is available to
+    /// this one, take effect at its next change.
+    fn update_level(&mut self, index: usize) {
+        let account = self.pool.accounts()[index];
+        let stats = &mut self.stats[index];
+        let from = stats.tracker.level();
+        if stats.tracker.update(account.held, account.held + self.pool.available(index)) {
+            let (to, purpose) = (stats.tracker.level(), self.purposes[index]);
+            if self.changes.len() == MAX_PENDING_CHANGES {
                 self.changes.pop_front();
             }
-            self.changes.push_back(Change { purpose, from, to, held: account.held, cap: account.cap });
+            self.changes.push_back(LevelChange { purpose, from, to, held: account.held, cap: account.cap });
         }
     }
 
-    fn took(&mut self, at: usize, done: bool) -> bool {
-        self.sides[at].refusals += u64::from(!done);
-        self.see(at);
-        done
+    /// Records the result of an allocation, and returns it.
+    fn record_allocation(&mut self, index: usize, granted: bool) -> bool {
+        self.stats[index].refusals += u64::from(!granted);
+        self.update_level(index);
+        granted
     }
 }
 
-/// All accounts of one marshal. Clones are handles to the same.
+/// The accounts of one marshal. Clones are handles to the same ledger.
 #[derive(Clone)]
-pub struct Ledger(Rc<RefCell<Books>>);
+pub struct Ledger(Rc<RefCell<LedgerState>>);
 
 impl Ledger {
     pub fn new(plan: &Plan) -> Self {
         let purposes: Vec<_> = plan.accounts.iter().map(|(purpose, _)| *purpose).collect();
         let accounts: Vec<_> = plan.accounts.iter().map(|(_, account)| *account).collect();
-        let sides = purposes.iter().map(|_| Side::default()).collect();
-        let pool = Pool::new(plan.total, accounts);
-        Ledger(Rc::new(RefCell::new(Books { purposes, pool, sides, changes: VecDeque::new() })))
+        let stats = purposes.iter().map(|_| PressureStats::default()).collect();
+        let pool = Pool::new(plan.total_bytes, accounts);
+        Ledger(Rc::new(RefCell::new(LedgerState { purposes, pool, stats, changes: VecDeque::new() })))
     }
 
-    /// Goes by another plan from now on, for the same path groups.
-    pub fn replan(&self, plan: &Plan) {
+    /// Switches to another plan for the same path groups.
+    pub fn apply_plan(&self, plan: &Plan) {
         let bounds: Vec<_> = plan.accounts.iter().map(|(_, account)| *account).collect();
-        let mut books = self.0.borrow_mut();
-        books.pool.replan(plan.total, &bounds);
-        (0..bounds.len()).for_each(|at| books.see(at));
+        let mut state = self.0.borrow_mut();
+        state.pool.set_bounds(plan.total_bytes, &bounds);
+        (0..bounds.len()).for_each(|index| state.update_level(index));
     }
 
-    fn at(&self, purpose: Purpose) -> usize {
+    fn index_of(&self, purpose: Purpose) -> usize {
         purpose.index().min(self.0.borrow().purposes.len() - 1)
     }
 
-    /// Charges so many bytes to a purpose, if there is room.
-    pub fn charge(&self, purpose: Purpose, bytes: usize) -> Result<Charge, Refused> {
+    /// Charges `bytes` to a purpose, if they are available.
+    pub fn charge(&self, purpose: Purpose, bytes: usize) -> Result<Charge, BudgetExceeded> {
         let mut charge = Charge { ledger: self.clone(), purpose, bytes: 0 };
         charge.resize(bytes)?;
         Ok(charge)
     }
 
-    /// A charge of nothing, to be grown.
-    pub fn open(&self, purpose: Purpose) -> Charge {
+    /// A charge of zero bytes, to be resized later.
+    pub fn empty_charge(&self, purpose: Purpose) -> Charge {
         Charge { ledger: self.clone(), purpose, bytes: 0 }
     }
 
-    /// Bytes that the purpose may take now.
-    pub fn room(&self, purpose: Purpose) -> usize {
-        let at = self.at(purpose);
-        self.0.borrow().pool.room(at)
+    /// Bytes that the purpose can be charged now.
+    pub fn available(&self, purpose: Purpose) -> usize {
+        let index = self.index_of(purpose);
+        self.0.borrow().pool.available(index)
     }
 
+    /// Bytes that the purpose holds.
     pub fn held(&self, purpose: Purpose) -> usize {
-        let at = self.at(purpose);
-        self.0.borrow().pool.accounts()[at].held
+        let index = self.index_of(purpose);
+        self.0.borrow().pool.accounts()[index].held
     }
 
+    /// Most bytes that the purpose may hold.
     pub fn cap(&self, purpose: Purpose) -> usize {
-        let at = self.at(purpose);
-        self.0.borrow().pool.accounts()[at].cap
+        let index = self.index_of(purpose);
+        self.0.borrow().pool.accounts()[index].cap
     }
 
     pub fn level(&self, purpose: Purpose) -> Level {
-        let at = self.at(purpose);
-        self.0.borrow().sides[at].gauge.level()
+        let index = self.index_of(purpose);
+        self.0.borrow().stats[index].tracker.level()
     }
 
-    /// What is to be given back now for this purpose, by its rule and level.
-    pub fn reclaim(&self, purpose: Purpose) -> crate::purpose::Reclaim {
-        rule(purpose).reclaim(self.level(purpose))
+    /// What is to be reclaimed for this purpose now, by its rule and level.
+    pub fn reclaim_action(&self, purpose: Purpose) -> crate::purpose::ReclaimAction {
+        rule(purpose).reclaim_action(self.level(purpose))
     }
 
-    /// Bytes to be given back until the purpose is easy again.
-    pub fn over(&self, purpose: Purpose) -> usize {
-        let at = self.at(purpose);
-        let books = self.0.borrow();
-        let held = books.pool.accounts()[at].held;
-        held.saturating_sub(level::easy(held + books.pool.room(at)))
+    /// Bytes to be reclaimed until the purpose returns to the normal level.
+    pub fn excess(&self, purpose: Purpose) -> usize {
+        let index = self.index_of(purpose);
+        let state = self.0.borrow();
+        let held = state.pool.accounts()[index].held;
+        held.saturating_sub(level::normal_threshold_bytes(held + state.pool.available(index)))
     }
 
-    /// Notes that so many bytes were given back under pressure.
-    pub fn reclaimed(&self, purpose: Purpose, bytes: usize) {
-        let at = self.at(purpose);
-        self.0.borrow_mut().sides[at].reclaimed += bytes as u64;
+    /// Records that `bytes` were reclaimed under pressure.
+    pub fn record_reclaimed(&self, purpose: Purpose, bytes: usize) {
+        let index = self.index_of(purpose);
+        self.0.borrow_mut().stats[index].reclaimed += bytes as u64;
     }
 
-    /// Bytes held for all purposes.
-    pub fn sum(&self) -> usize {
+    /// Bytes held by all purposes.
+    pub fn total_held(&self) -> usize {
         self.0.borrow().pool.held()
     }
 
-    pub fn report(&self) -> Vec<Row> {
-        let books = self.0.borrow();
-        let row = |at: usize| Row {
-            purpose: books.purposes[at],
-            account: books.pool.accounts()[at],
-            level: books.sides[at].gauge.level(),
-            refusals: books.sides[at].refusals,
-            reclaimed: books.sides[at].reclaimed,
-            changes: books.sides[at].gauge.changes(),
+    /// The state of every purpose, in the order of [`Purpose::index`].
+    pub fn report(&self) -> Vec<PurposeReport> {
+        let state = self.0.borrow();
+        let row = |index: usize| PurposeReport {
+            purpose: state.purposes[index],
+            account: state.pool.accounts()[index],
+            level: state.stats[index].tracker.level(),
+            refusals: state.stats[index].refusals,
+            reclaimed: state.stats[index].reclaimed,
+            changes: state.stats[index].tracker.changes(),
         };
-        (0..books.purposes.len()).map(row).collect()
+        (0..state.purposes.len()).map(row).collect()
     }
 
-    /// The changes of level since they were last asked for.
-    pub fn changes(&self) -> Vec<Change> {
+    /// Returns the level changes since the last call, and clears them.
+    pub fn drain_changes(&self) -> Vec<LevelChange> {
         self.0.borrow_mut().changes.drain(..).collect()
     }
 }
 
-/// Bytes held for one purpose, until this is dropped.
+/// Bytes held for one purpose until this is dropped.
 pub struct Charge {
     ledger: Ledger,
     purpose: Purpose,
@@ -199,51 +205,51 @@
         self.ledger.clone()
     }
 
-    /// Holds `bytes` from now on. Growing may be refused, and then nothing changes; shrinking never is.
-    pub fn resize(&mut self, bytes: usize) -> Result<(), Refused> {
-        let at = self.ledger.at(self.purpose);
-        let mut books = self.ledger.0.borrow_mut();
+    /// Changes the charge to `bytes`. Growing can fail, and then changes nothing; shrinking always succeeds.
+    pub fn resize(&mut self, bytes: usize) -> Result<(), BudgetExceeded> {
+        let index = self.ledger.index_of(self.purpose);
+        let mut state = self.ledger.0.borrow_mut();
         match bytes.checked_sub(self.bytes) {
             Some(0) => {}
-            Some(more) => {
-                let done = books.pool.take(at, more);
-                if !books.took(at, done) {
-                    return Err(Refused { purpose: self.purpose, bytes: more });
+            Some(additional) => {
+                let granted = state.pool.allocate(index, additional);
+                if !state.record_allocation(index, granted) {
+                    return Err(BudgetExceeded { purpose: self.purpose, bytes: additional });
                 }
             }
             None => {
-                books.pool.give(at, self.bytes - bytes);
-                books.see(at);
+                state.pool.release(index, self.bytes - bytes);
+                state.update_level(index);
             }
         }
         self.bytes = bytes;
         Ok(())
     }
 
-    /// Moves to another purpose in one step; refused, it stays where it is.
-    pub fn shift(&mut self, to: Purpose) -> Result<(), Refused> {
-        let (from, at) = (self.ledger.at(self.purpose), self.ledger.at(to));
-        if from != at {
-            let mut books = self.ledger.0.borrow_mut();
-            let done = books.pool.shift(from, at, self.bytes);
-            if !books.took(at, done) {
-                return Err(Refused { purpose: to, bytes: self.bytes });
+    /// Moves the charge to another purpose in one step; on failure it stays where it is.
+    pub fn transfer(&mut self, to: Purpose) -> Result<(), BudgetExceeded> {
+        let (from_index, to_index) = (self.ledger.index_of(self.purpose), self.ledger.index_of(to));
+        if from_index != to_index {
+            let mut state = self.ledger.0.borrow_mut();
+            let granted = state.pool.transfer(from_index, to_index, self.bytes);
+            if !state.record_allocation(to_index, granted) {
+                return Err(BudgetExceeded { purpose: to, bytes: self.bytes });
             }
-            books.see(from);
+            state.update_level(from_index);
         }
         self.purpose = to;
         Ok(())
     }
 
-    /// Cuts `bytes` of it off as a charge of their own, for the same purpose; all of it where it holds fewer.
+    /// Splits off `bytes` as a charge for the same purpose; all of the charge if it holds fewer.
     pub fn split(&mut self, bytes: usize) -> Charge {
         let bytes = bytes.min(self.bytes);
         self.bytes -= bytes;
         Charge { ledger: self.ledger.clone(), purpose: self.purpose, bytes }
     }
 
-    /// Takes in another charge for the same purpose; one for another purpose is handed back.
-    pub fn join(&mut self, mut other: Charge) -> Option<Charge> {
+    /// Merges another charge for the same purpose into this one; a charge for another purpose is returned.
+    pub fn merge(&mut self, mut other: Charge) -> Option<Charge> {
         if other.purpose != self.purpose {
             return Some(other);
         }
@@ -255,10 +261,10 @@
 impl Drop for Charge {
     fn drop(&mut self) {
         if self.bytes > 0 {
-            let at = self.ledger.at(self.purpose);
-            let mut books = self.ledger.0.borrow_mut();
-            books.pool.give(at, self.bytes);
-            books.see(at);
+            let index = self.ledger.index_of(self.purpose);
+            let mut state = self.ledger.0.borrow_mut();
+            state.pool.release(index, self.bytes);
+            state.update_level(index);
         }
     }
 }
--- a/crates/budget/src/level.rs
+++ b/crates/budget/src/level.rs
@@ -1,53 +1,55 @@
-//! Named levels of pressure. A level is entered at a higher mark than it is left at, so that a load that hovers at a
-//! mark changes it once and not at every step.
+//! Pressure levels with hysteresis: a level is entered at a higher fill than it is left at, so that a load that
+//! hovers at a threshold changes the level once and not at every step.
 
-/// How pressed a purpose is.
+/// Memory pressure of one purpose.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Level {
-    /// Nothing is done.
+    /// Nothing is reclaimed.
     #[default]
-    Easy,
-    /// What is only a convenience goes.
-    Tight,
-    /// Room is made at others' cost, by the purpose's own rule.
-    Short,
+    Normal,
+    /// Memory that is only a convenience is reclaimed.
+    Elevated,
+    /// Memory is reclaimed at the expense of clients or nodes, by the rule of the purpose.
+    Critical,
 }
 
-/// What may be held of `reach` bytes for no level but the easy one to last.
-pub fn easy(reach: usize) -> usize {
-    (reach as f64 * TIGHT.leave) as usize
+/// Bytes held, of `limit_bytes`, below which every level returns to normal.
+pub fn normal_threshold_bytes(limit_bytes: usize) -> usize {
+    (limit_bytes as f64 * ELEVATED.leave) as usize
 }
 
 impl Level {
+    /// The name in reports.
     pub fn name(self) -> &'static str {
         match self {
-            Level::Easy => "easy",
-            Level::Tight => "tight",
-            Level::Short => "short",
+            Level::Normal => "easy",
+            Level::Elevated => "tight",
+            Level::Critical => "short",
         }
     }
 }
 
-/// Marks of a level, as parts of what the purpose can reach at the time.
+/// Thresholds of a level, as fractions of the current limit of the purpose.
 #[derive(Clone, Copy, Debug)]
-struct Marks {
+struct Thresholds {
     enter: f64,
     leave: f64,
 }
 
-/// Tight leaves a third of the room for what is under way, short a tenth; either is left when a sixth of it (a
-/// tenth) has come back, more than the largest single thing that comes and goes, a value of 64 KiB in a mebibyte.
-const TIGHT: Marks = Marks { enter: 0.70, leave: 0.55 };
-const SHORT: Marks = Marks { enter: 0.90, leave: 0.78 };
+/// `ELEVATED` leaves about a third of the limit for work under way, `CRITICAL` a tenth. A level is left once about a
+/// sixth (`ELEVATED`) or a tenth (`CRITICAL`) of the limit is free again. That is more than the largest single item
+/// that comes and goes, a value of 64 KiB in 1 MiB.
+const ELEVATED: Thresholds = Thresholds { enter: 0.70, leave: 0.55 };
+const CRITICAL: Thresholds = Thresholds { enter: 0.90, leave: 0.78 };
 
-/// The level of one purpose, and how often it changed.
+/// The level of one purpose, and the number of its changes.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Gauge {
+pub struct LevelTracker {
     level: Level,
     changes: u64,
 }
 
-impl Gauge {
+impl LevelTracker {
     pub fn level(&self) -> Level {
         self.level
     }
@@ -56,21 +58,23 @@
         self.changes
     }
 
-    /// Takes in that `held` of `reach` bytes are in use; true where the level is another now. The only place where
-    /// a level changes.
-    pub fn see(&mut self, held: usize, reach: usize) -> bool {
-        // By far the most often nothing is pressed: that is told without a division.
-        if self.level == Level::Easy && held < reach / 2 {
+    /// Records that `held_bytes` of `limit_bytes` are in use; true if the level changed. The level changes nowhere
+    /// else.
+    pub fn update(&mut self, held_bytes: usize, limit_bytes: usize) -> bool {
+        // Fast path without a division: most updates find no pressure.
+        if self.level == Level::Normal && held_bytes < limit_bytes / 2 {
             return false;
         }
-        let fill = if reach == 0 { 1.0 } else { held as f64 / reach as f64 };
-        let at_least = |marks: Marks, now: bool| fill >= if now { marks.leave } else { marks.enter };
-        let next = if at_least(SHORT, self.level == Level::Short) {
-            Level::Short
-        } else if at_least(TIGHT, self.level >= Level::Tight) {
-            Level::Tight
+        let fill = if limit_bytes == 0 { 1.0 } else { held_bytes as f64 / limit_bytes as f64 };
+        let reached = |thresholds: Thresholds, active: bool| {
+            fill >= if active { thresholds.leave } else { thresholds.enter }
+        };
+        let next = if reached(CRITICAL, self.level == Level::Critical) {
+            Level::Critical
+        } else if reached(ELEVATED, self.level >= Level::Elevated) {
+            Level::Elevated
         } else {
-            Level::Easy
+            Level::Normal
         };
         let changed = next != self.level;
         self.level = next;
--- a/crates/budget/src/lib.rs
+++ b/crates/budget/src/lib.rs
@@ -1,26 +1,27 @@
-//! Memory by purpose. Every byte that a marshal holds for others belongs to one purpose; each purpose has a cap
-//! that it never passes and a reserve that no other may take, and what lies between is lent and given back.
+//! Memory accounting by purpose. Every byte that a marshal holds for others is charged to one purpose. Each purpose
+//! has a cap that it never exceeds and a reserve that no other purpose can use; memory outside all reserves is shared
+//! and borrowed on demand.
 //!
-//! - [`purpose`]: the purposes, and the one table of what is done when one is under pressure.
-//! - [`plan`]: caps and reserves, computed from the limits of the process; what can't be kept is refused.
-//! - [`pool`]: the accounts, in plain figures.
-//! - [`level`]: named levels of pressure with different marks for entry and exit.
-//! - [`ledger`]: charges as guards, which give back what they hold when they are dropped.
-//! - [`buffer`]: a growing buffer whose capacity is charged before it grows.
-//! - [`victims`]: whose memory goes first where room must be made.
+//! - [`purpose`]: the purposes, and the rules for overflow and reclaim under memory pressure.
+//! - [`plan`]: caps and reserves, computed from the limits of the process; rejects limits that are too small.
+//! - [`pool`]: the accounts that share one total.
+//! - [`level`]: pressure levels with hysteresis.
+//! - [`ledger`]: charges as RAII guards, which release their bytes when dropped.
+//! - [`buffer`]: a growable buffer whose capacity is charged before it grows.
+//! - [`eviction`]: selection of the client connections to close when memory is needed.
 //!
-//! Nothing here does I/O or reads a clock.
+//! The crate does no I/O and reads no clock.
 
 pub mod buffer;
+pub mod eviction;
 pub mod ledger;
 pub mod level;
 pub mod plan;
 pub mod pool;
 pub mod purpose;
-pub mod victims;
 
 pub use buffer::Buffer;
-pub use ledger::{Charge, Ledger, Refused};
+pub use ledger::{BudgetExceeded, Charge, Ledger};
 pub use level::Level;
-pub use plan::{Plan, Process, Shares};
+pub use plan::{Plan, ProcessLimits, Shares};
 pub use purpose::Purpose;
--- a/crates/budget/src/plan.rs
+++ b/crates/budget/src/plan.rs
@@ -1,40 +1,41 @@
-//! Caps and reserves by purpose, computed at the start from the limits of the process. What can't be kept is refused
-//! there, with the figure that is missing.
+//! Caps and reserves by purpose, computed at startup from the limits of the process. Limits that are too small are
+//! rejected there, with the number of missing bytes.
 
-use crate::buffer::LEAST;
+use crate::buffer::MIN_CAPACITY_BYTES;
 use crate::pool::Account;
-use crate::purpose::{FIXED, MOST_GROUPS, Purpose};
+use crate::purpose::{FIXED_PURPOSES, MAX_PATH_GROUPS, Purpose};
 use std::fmt;
 
 const KIB: usize = 1024;
 const MIB: usize = 1024 * KIB;
 
-/// What the program holds before it serves anyone: text, stack, settings, executor. Resident size of an idle marshal
-/// was 1.6 to 2.1 MiB (docs/results-memory.md).
-const PROCESS: usize = 2 * MIB;
-/// One part in so many of the limit is left for what the allocator rounds up, and for the moment in which a growing
-/// buffer stands beside its larger copy.
-const SLACK: usize = 8;
-
-/// A client's connection, with its task, its places in the reactor and a small buffer: 2.5 to 2.7 KB measured.
-pub const CLIENT: usize = 2 * KIB + LEAST + LEAST / 2;
-/// A node's connection, with its buffers and its forwards: 3.6 to 3.9 KB measured.
-pub const LINK: usize = 4 * KIB;
-/// A hit in work, besides its command: 500 to 770 bytes measured, the tables that grow counted in, and three forwards'
-/// records with two timers each. All three by `stonescale-lab sizes` (docs/results-memory.md).
-pub const HIT: usize = KIB + KIB / 4;
-/// A node: its listing, its row in the core, its names.
-pub const NODE: usize = KIB;
-/// Nodes that a list may name at least, whatever the memory, as far as that is free: 1,024, and as many that they replace.
-const NODES: usize = 2 * 1_024;
-/// Bytes by which a list states a node, and how often it stands while it is read: the line, the next one beside it, its
-/// entries, and the room in which a line grows.
-const STATED: usize = 256;
-const READ: usize = 4;
-/// The largest message: a value of 64 KiB, and what stands around it.
-pub const MESSAGE: usize = 68 * KIB;
-
-/// Part of what is left after the connections that a purpose may hold at most, and that no other may take.
+/// Bytes that the program holds before it serves a client: text, stack, settings, executor. An idle marshal had a
+/// resident size of 1.6 to 2.1 MiB (docs/results-memory.md).
+const PROCESS_BASE_BYTES: usize = 2 * MIB;
+/// The limit divided by this is left for the rounding of the allocator, and for the moment in which a growing buffer
+/// exists beside its larger copy.
+const SLACK_DIVISOR: usize = 8;
+
+/// A client connection, with its task, its entries in the reactor and a small buffer: 2.5 to 2.7 KB measured.
+pub const CLIENT_CONNECTION_BYTES: usize = 2 * KIB + MIN_CAPACITY_BYTES + MIN_CAPACITY_BYTES / 2;
+/// A node connection, with its buffers and forwards: 3.6 to 3.9 KB measured.
+pub const NODE_CONNECTION_BYTES: usize = 4 * KIB;
+/// An in-flight hit without its command: 500 to 770 bytes measured, including the growth of its tables and the
+/// records of three forwards with two timers each. `stonescale-lab sizes` measures this and the two sizes above
+/// (docs/results-memory.md).
+pub const HIT_BYTES: usize = KIB + KIB / 4;
+/// A node: its list entry, its row in the core, its names.
+pub const NODE_RECORD_BYTES: usize = KIB;
+/// Nodes that a list may name whatever the memory, as far as memory is free: 1,024, and as many that they replace.
+const FULL_FLEET_NODES: usize = 2 * 1_024;
+/// Bytes of a node's entry in the list, and how many times an entry is held while the list is read: the line, the
+/// next line beside it, its parsed entries, and the capacity into which a line grows.
+const LIST_ENTRY_BYTES: usize = 256;
+const LIST_COPIES: usize = 4;
+/// The largest message: a value of 64 KiB with its framing.
+pub const MAX_MESSAGE_BYTES: usize = 68 * KIB;
+
+/// Cap and reserve of a purpose, as fractions (0 to 1) of the memory left after the connections.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Share {
     pub cap: f64,
@@ -42,15 +43,15 @@
 }
 
 /// The shares of the purposes whose size does not follow from the number of connections. `work` is for all path
-/// groups together: each may hold up to the cap, and has an even part of the reserve.
+/// groups together: each group may hold up to the cap, and has an equal part of the reserve.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Shares {
     rows: Vec<(&'static str, Share)>,
 }
 
-/// Half-read commands and answers owed have small reserves: a few whole messages, so that small hits pass beside
-/// a flood of large ones. Hits in work have the largest, as they are what the rest is for.
-const DEFAULT: [(&str, Share); 9] = [
+/// Partial commands and client output have small reserves, a few whole messages, so that small hits pass beside a
+/// flood of large ones. In-flight hits have the largest reserve, as the other purposes serve them.
+const DEFAULT_SHARES: [(&str, Share); 9] = [
     ("halves", Share { cap: 0.25, reserve: 0.06 }),
     ("work", Share { cap: 0.50, reserve: 0.32 }),
     ("owed", Share { cap: 0.25, reserve: 0.06 }),
@@ -64,156 +65,171 @@
 
 impl Default for Shares {
     fn default() -> Self {
-        Shares { rows: DEFAULT.to_vec() }
+        Shares { rows: DEFAULT_SHARES.to_vec() }
     }
 }
 
 impl Shares {
-    /// The names that shares are set by.
+    /// The names of the purposes that have a share.
     pub fn names() -> impl Iterator<Item = &'static str> {
-        DEFAULT.iter().map(|(name, _)| *name)
+        DEFAULT_SHARES.iter().map(|(name, _)| *name)
     }
 
-    pub fn of(&self, name: &str) -> Option<Share> {
+    pub fn get(&self, name: &str) -> Option<Share> {
         self.rows.iter().find(|(n, _)| *n == name).map(|(_, share)| *share)
     }
 
-    /// Sets a purpose's share; false where there is no such purpose.
+    /// Sets the share of a purpose; false if there is no such purpose.
     pub fn set(&mut self, name: &str, share: Share) -> bool {
         let row = self.rows.iter_mut().find(|(n, _)| *n == name);
         row.map(|row| row.1 = share).is_some()
     }
 
-    /// Checks the shares by themselves.
-    pub fn check(&self) -> Result<(), Wrong> {
+    /// Validates the shares, whatever the limits of the process.
+    pub fn check(&self) -> Result<(), PlanError> {
         for (name, share) in &self.rows {
-            let part = |x: f64| (0.0..=1.0).contains(&x);
-            if !part(share.cap) || !part(share.reserve) {
-                return Err(Wrong::NoPart(name));
+            let is_fraction = |x: f64| (0.0..=1.0).contains(&x);
+            if !is_fraction(share.cap) || !is_fraction(share.reserve) {
+                return Err(PlanError::NotAFraction(name));
             } else if share.cap == 0.0 {
-                return Err(Wrong::NoCap(name));
+                return Err(PlanError::ZeroCap(name));
             } else if share.reserve > share.cap {
-                return Err(Wrong::ReserveOverCap(name, *share));
+                return Err(PlanError::ReserveAboveCap(name, *share));
             }
         }
         let sum: f64 = self.rows.iter().map(|(_, s)| s.reserve).sum();
-        // A little over for what rounding does to a sum of ten.
-        if sum > 1.0 + 1e-9 { Err(Wrong::ReservesOverAll(sum)) } else { Ok(()) }
+        // Tolerates the rounding of a sum of ten.
+        if sum > 1.0 + 1e-9 { Err(PlanError::ReservesAboveTotal(sum)) } else { Ok(()) }
     }
 }
 
-/// What the process may be, and how many connections it may have.
+/// The limits of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Process {
-    /// Its memory limit in bytes.
-    pub memory: usize,
-    /// Most client and node connections.
-    pub clients: usize,
-    pub links: usize,
-    /// Path groups.
-    pub groups: usize,
+pub struct ProcessLimits {
+    /// Its memory limit.
+    pub memory_bytes: usize,
+    /// Most client connections, and most node connections.
+    pub max_clients: usize,
+    pub max_node_connections: usize,
+    /// Number of path groups.
+    pub path_groups: usize,
 }
 
 /// Why there can be no plan.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Wrong {
-    /// A share is no part of a whole.
-    NoPart(&'static str),
-    NoCap(&'static str),
-    ReserveOverCap(&'static str, Share),
-    ReservesOverAll(f64),
-    /// Bytes that the limit lacks, and the limit.
-    TooLittle {
-        missing: usize,
-        memory: usize,
+pub enum PlanError {
+    /// The cap or reserve of this purpose is not a fraction from 0 to 1.
+    NotAFraction(&'static str),
+    ZeroCap(&'static str),
+    ReserveAboveCap(&'static str, Share),
+    /// The sum of the reserves, as a fraction.
+    ReservesAboveTotal(f64),
+    /// The bytes by which the memory limit is too small, and the limit.
+    InsufficientMemory {
+        missing_bytes: usize,
+        limit_bytes: usize,
     },
 }
 
-impl fmt::Display for Wrong {
+impl fmt::Display for PlanError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Wrong::NoPart(name) => write!(f, "{name}: cap and reserve are parts from 0 % to 100 %"),
-            Wrong::NoCap(name) => write!(f, "{name}: a cap of nothing would keep every hit out"),
-            Wrong::ReserveOverCap(name, share) => {
+            PlanError::NotAFraction(name) => {
+                write!(f, "{name}: cap and reserve must each be from 0 % to 100 %")
+            }
+            PlanError::ZeroCap(name) => write!(f, "{name}: a cap of nothing would refuse every hit"),
+            PlanError::ReserveAboveCap(name, share) => {
                 let (reserve, cap) = (share.reserve * 100.0, share.cap * 100.0);
                 write!(f, "{name}: a reserve of {reserve:.0} % is over the cap of {cap:.0} %")
             }
-            Wrong::ReservesOverAll(sum) => write!(f, "the reserves come to {:.0} %, over 100 %", sum * 100.0),
-            Wrong::TooLittle { missing, memory } => write!(
+            PlanError::ReservesAboveTotal(sum) => {
+                write!(f, "the reserves come to {:.0} %, over 100 %", sum * 100.0)
+            }
+            PlanError::InsufficientMemory { missing_bytes, limit_bytes } => write!(
                 f,
-                "{} MiB are too little for so many descriptors and path groups: {} KiB are missing",
-                memory / MIB,
-                missing.div_ceil(KIB)
+                "{} MiB are too little for this number of descriptors and path groups: {} KiB are missing",
+                limit_bytes / MIB,
+                missing_bytes.div_ceil(KIB)
             ),
         }
     }
 }
 
-impl std::error::Error for Wrong {}
+impl std::error::Error for PlanError {}
 
 /// Caps and reserves in bytes.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Bytes to be held in all.
-    pub total: usize,
+    /// Most bytes that all purposes may hold together.
+    pub total_bytes: usize,
     pub accounts: Vec<(Purpose, Account)>,
 }
 
 impl Plan {
-    pub fn new(process: Process, shares: &Shares) -> Result<Self, Wrong> {
+    /// Computes the accounts of all purposes. Fails if a share is invalid or the memory limit can't cover the
+    /// reserves.
+    pub fn new(limits: ProcessLimits, shares: &Shares) -> Result<Self, PlanError> {
         shares.check()?;
-        let Process { memory, clients, links, groups } = process;
-        let total = (memory - memory / SLACK).saturating_sub(PROCESS);
-        let (clients, links) = (clients * CLIENT, links * LINK);
-        let rest = total.saturating_sub(clients + links);
-        let groups = groups.clamp(1, MOST_GROUPS);
-        let bytes = |part: f64| (part * rest as f64) as usize;
-        let purposes = FIXED.into_iter().chain((0..groups).map(Purpose::work));
+        let ProcessLimits { memory_bytes, max_clients, max_node_connections, path_groups } = limits;
+        let total_bytes = (memory_bytes - memory_bytes / SLACK_DIVISOR).saturating_sub(PROCESS_BASE_BYTES);
+        let (client_bytes, node_connection_bytes) =
+            (max_clients * CLIENT_CONNECTION_BYTES, max_node_connections * NODE_CONNECTION_BYTES);
+        let remaining_bytes = total_bytes.saturating_sub(client_bytes + node_connection_bytes);
+        let path_groups = path_groups.clamp(1, MAX_PATH_GROUPS);
+        let bytes = |fraction: f64| (fraction * remaining_bytes as f64) as usize;
+        let purposes = FIXED_PURPOSES.into_iter().chain((0..path_groups).map(Purpose::in_flight));
         let account = |purpose: Purpose| {
-            let share = shares.of(purpose.name()).unwrap_or(Share { cap: 0.0, reserve: 0.0 });
-            let fixed = match purpose {
-                Purpose::Clients => clients,
-                Purpose::Links => links,
+            let share = shares.get(purpose.name()).unwrap_or(Share { cap: 0.0, reserve: 0.0 });
+            let connection_bytes = match purpose {
+                Purpose::Clients => client_bytes,
+                Purpose::NodeConnections => node_connection_bytes,
                 _ => 0,
             };
-            let among = if matches!(purpose, Purpose::Work(_)) { groups } else { 1 };
-            let reserve = (bytes(share.reserve) / among).max(Self::least(purpose));
-            let cap = bytes(share.cap).max(reserve).max(Self::full_fleet(purpose).min(rest));
-            (purpose, Account::new(fixed + cap, fixed + reserve))
+            let sharers = if matches!(purpose, Purpose::InFlight(_)) { path_groups } else { 1 };
+            let reserve = (bytes(share.reserve) / sharers).max(Self::min_reserve_bytes(purpose));
+            let cap = bytes(share.cap).max(reserve).max(Self::full_fleet_bytes(purpose).min(remaining_bytes));
+            (purpose, Account::new(connection_bytes + cap, connection_bytes + reserve))
         };
         let accounts: Vec<_> = purposes.map(account).collect();
         let reserved: usize = accounts.iter().map(|(_, a)| a.reserve).sum();
-        if reserved > total {
-            // The limit that would do, slack and all.
-            let enough = (reserved + PROCESS) * SLACK / (SLACK - 1) + 1;
-            return Err(Wrong::TooLittle { missing: enough.saturating_sub(memory), memory });
+        if reserved > total_bytes {
+            // The smallest limit that covers the reserves, the slack included.
+            let sufficient = (reserved + PROCESS_BASE_BYTES) * SLACK_DIVISOR / (SLACK_DIVISOR - 1) + 1;
+            return Err(PlanError::InsufficientMemory {
+                missing_bytes: sufficient.saturating_sub(memory_bytes),
+                limit_bytes: memory_bytes,
+            });
         }
-        Ok(Plan { total, accounts })
+        Ok(Plan { total_bytes, accounts })
     }
 
-    /// What a purpose needs to be of use at all: one whole message where it holds messages.
-    fn least(purpose: Purpose) -> usize {
+    /// The least reserve with which a purpose can work: one whole message where it holds messages.
+    fn min_reserve_bytes(purpose: Purpose) -> usize {
         match purpose {
             Purpose::Clients => 0,
-            Purpose::Halves | Purpose::Owed | Purpose::Links | Purpose::Answers => MESSAGE,
-            // The command, and the room in which its answer is copied.
-            Purpose::Work(_) => MESSAGE + HIT,
-            Purpose::Nodes => 32 * NODE,
+            Purpose::PartialCommands
+            | Purpose::ClientOutput
+            | Purpose::NodeConnections
+            | Purpose::NodeAnswers => MAX_MESSAGE_BYTES,
+            // The command, and the room into which its answer is copied.
+            Purpose::InFlight(_) => MAX_MESSAGE_BYTES + HIT_BYTES,
+            Purpose::Nodes => 32 * NODE_RECORD_BYTES,
             Purpose::Discovery => 64 * KIB,
             Purpose::Platform | Purpose::Log => 16 * KIB,
         }
     }
 
-    /// What a fleet of many nodes needs; no part of the reserve, as most fleets are smaller.
-    fn full_fleet(purpose: Purpose) -> usize {
+    /// The least cap for a fleet of many nodes. It is not part of the reserve, as most fleets are smaller.
+    fn full_fleet_bytes(purpose: Purpose) -> usize {
         match purpose {
-            Purpose::Nodes => NODES * NODE,
-            Purpose::Discovery => NODES * STATED * READ,
+            Purpose::Nodes => FULL_FLEET_NODES * NODE_RECORD_BYTES,
+            Purpose::Discovery => FULL_FLEET_NODES * LIST_ENTRY_BYTES * LIST_COPIES,
             _ => 0,
         }
     }
 
-    pub fn of(&self, purpose: Purpose) -> Account {
+    /// The account of a purpose; all zero if it has none.
+    pub fn account(&self, purpose: Purpose) -> Account {
         self.accounts.iter().find(|(p, _)| *p == purpose).map(|(_, a)| *a).unwrap_or_default()
     }
 }
--- a/crates/budget/src/pool.rs
+++ b/crates/budget/src/pool.rs
@@ -1,21 +1,24 @@
-//! Accounts over one sum of bytes: each may hold up to its cap, and up to its reserve at any time, whatever the
-//! others hold. What an account holds past its reserve is lent from the part that is nobody's reserve.
+//! Accounts that share one total of bytes. Each account may hold up to its cap, and can always hold its reserve,
+//! whatever the others hold. Bytes that an account holds beyond its reserve are lent from the shared part, which is
+//! the total without all reserves.
 
-/// One account's bounds, and what it holds.
+/// One account: its bounds and its use, all in bytes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Account {
-    /// Most bytes it may hold.
+    /// Most bytes that it may hold.
     pub cap: usize,
-    /// Bytes that no other account may take.
+    /// Bytes that no other account can use.
     pub reserve: usize,
+    /// Bytes that it holds now.
     pub held: usize,
-    /// The most it held so far.
-    pub high: usize,
+    /// Most bytes that it has held so far.
+    pub high_water: usize,
 }
 
 impl Account {
+    /// An account that holds nothing.
     pub fn new(cap: usize, reserve: usize) -> Self {
-        Account { cap, reserve, held: 0, high: 0 }
+        Account { cap, reserve, held: 0, high_water: 0 }
     }
 
     fn borrowed(&self) -> usize {
@@ -23,81 +26,86 @@
     }
 }
 
+/// All accounts over one total.
 #[derive(Clone, Debug)]
 pub struct Pool {
     accounts: Vec<Account>,
-    /// Bytes that are nobody's reserve, and how many of them are lent.
-    shared: usize,
-    lent: usize,
+    /// Bytes outside all reserves, and how many of them are lent.
+    shared_bytes: usize,
+    lent_bytes: usize,
 }
 
 impl Pool {
-    /// Accounts over `total` bytes. Reserves that pass it leave nothing to lend; a plan sees to it that they don't.
-    pub fn new(total: usize, accounts: Vec<Account>) -> Self {
+    /// Accounts over `total_bytes`. If the reserves exceed the total, nothing can be lent; a [`crate::Plan`] rejects
+    /// such reserves.
+    pub fn new(total_bytes: usize, accounts: Vec<Account>) -> Self {
         let reserved: usize = accounts.iter().map(|a| a.reserve).sum();
-        Pool { accounts, shared: total.saturating_sub(reserved), lent: 0 }
+        Pool { accounts, shared_bytes: total_bytes.saturating_sub(reserved), lent_bytes: 0 }
     }
 
-    /// Other bounds from now on, for the same accounts. What an account holds past its new cap it keeps until it gives
-    /// it back.
-    pub fn replan(&mut self, total: usize, bounds: &[Account]) {
+    /// Replaces the bounds of the same accounts. An account that holds more than its new cap keeps those bytes until
+    /// it releases them.
+    pub fn set_bounds(&mut self, total_bytes: usize, bounds: &[Account]) {
         for (account, bound) in self.accounts.iter_mut().zip(bounds) {
             (account.cap, account.reserve) = (bound.cap, bound.reserve);
         }
         let reserved: usize = self.accounts.iter().map(|a| a.reserve).sum();
-        self.shared = total.saturating_sub(reserved);
-        self.lent = self.accounts.iter().map(Account::borrowed).sum();
+        self.shared_bytes = total_bytes.saturating_sub(reserved);
+        self.lent_bytes = self.accounts.iter().map(Account::borrowed).sum();
     }
 
     pub fn accounts(&self) -> &[Account] {
         &self.accounts
     }
 
-    /// Bytes held in all.
+    /// Bytes held by all accounts.
     pub fn held(&self) -> usize {
         self.accounts.iter().map(|a| a.held).sum()
     }
 
-    /// Bytes that this account may take now.
-    pub fn room(&self, at: usize) -> usize {
-        let account = &self.accounts[at];
-        let own = account.reserve.saturating_sub(account.held);
-        account.cap.saturating_sub(account.held).min(own + self.shared.saturating_sub(self.lent))
+    /// Bytes that the account can allocate now.
+    pub fn available(&self, index: usize) -> usize {
+        let account = &self.accounts[index];
+        let unused_reserve = account.reserve.saturating_sub(account.held);
+        account
+            .cap
+            .saturating_sub(account.held)
+            .min(unused_reserve + self.shared_bytes.saturating_sub(self.lent_bytes))
     }
 
-    /// Takes `bytes` for an account, or changes nothing and says no.
-    pub fn take(&mut self, at: usize, bytes: usize) -> bool {
-        if bytes > self.room(at) {
+    /// Allocates `bytes` for an account; returns false and changes nothing if they are not available.
+    pub fn allocate(&mut self, index: usize, bytes: usize) -> bool {
+        if bytes > self.available(index) {
             return false;
         }
-        let account = &mut self.accounts[at];
-        let before = account.borrowed();
+        let account = &mut self.accounts[index];
+        let borrowed_before = account.borrowed();
         account.held += bytes;
-        account.high = account.high.max(account.held);
-        self.lent += account.borrowed() - before;
+        account.high_water = account.high_water.max(account.held);
+        self.lent_bytes += account.borrowed() - borrowed_before;
         true
     }
 
-    /// Gives back `bytes` that the account holds.
-    pub fn give(&mut self, at: usize, bytes: usize) {
-        let account = &mut self.accounts[at];
-        debug_assert!(bytes <= account.held, "more is given back than was taken");
-        let before = account.borrowed();
+    /// Releases `bytes` that the account holds.
+    pub fn release(&mut self, index: usize, bytes: usize) {
+        let account = &mut self.accounts[index];
+        debug_assert!(bytes <= account.held, "more bytes released than allocated");
+        let borrowed_before = account.borrowed();
         account.held = account.held.saturating_sub(bytes);
-        self.lent -= before - account.borrowed();
+        self.lent_bytes -= borrowed_before - account.borrowed();
     }
 
-    /// Moves `bytes` from one account to another in one step, or changes nothing and says no. What the move frees is
-    /// there for it: the bytes are never counted twice.
-    pub fn shift(&mut self, from: usize, to: usize, bytes: usize) -> bool {
-        self.give(from, bytes);
-        let high = self.accounts[to].high;
-        let done = self.take(to, bytes);
-        if !done {
-            // What it held a moment ago fits again.
-            self.take(from, bytes);
-            self.accounts[to].high = high;
+    /// Moves `bytes` from one account to another in one step; returns false and changes nothing if they don't fit.
+    /// The bytes freed by the move are available to it: they are never counted twice.
+    pub fn transfer(&mut self, from: usize, to: usize, bytes: usize) -> bool {
+        self.release(from, bytes);
+        let high_water = self.accounts[to].high_water;
+        let granted = self.allocate(to, bytes);
+        if !granted {
+            // Always fits: the account held these bytes before.
+            self.allocate(from, bytes);
+            self.accounts[to].high_water = high_water;
         }
-        done
+        granted
     }
 }
--- a/crates/budget/src/purpose.rs
+++ b/crates/budget/src/purpose.rs
@@ -1,144 +1,152 @@
-//! What memory is for, and what is done for each purpose when it is short: the one table.
+//! The purposes that memory is charged to, and the rule of each for overflow and reclaim.
 
 use crate::level::Level;
 
-/// What a byte is held for. Hits in work are counted by path group, so that a flood of one leaves the others theirs.
+/// What a byte is held for. In-flight hits are charged by path group, so that a flood of one group leaves the others
+/// their part.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Purpose {
     /// Client connections: their records and tasks.
     Clients,
-    /// Commands that have not come whole.
-    Halves,
-    /// Answers that clients have not taken yet.
-    Owed,
-    /// Node connections, and commands queued on them.
-    Links,
-    /// Answers of nodes that have not come whole.
-    Answers,
-    /// What is known of nodes.
+    /// Commands that are only partly received.
+    PartialCommands,
+    /// Answers that clients have not read yet.
+    ClientOutput,
+    /// Node connections, and the commands queued on them.
+    NodeConnections,
+    /// Answers of nodes, from the first byte until they move to the client's output.
+    NodeAnswers,
+    /// Records of nodes.
     Nodes,
     /// The node list while it is read.
     Discovery,
     /// Calls to the platform and its news.
     Platform,
-    /// Lines of the log that are not written yet.
+    /// Log lines that are not written yet.
     Log,
-    /// Hits in work with their commands, records and timers, by the number of their path group.
-    Work(u8),
+    /// In-flight hits with their commands, records and timers, by the number of their path group.
+    InFlight(u8),
 }
 
 /// The purposes that every marshal has; one for each path group follows.
-pub const FIXED: [Purpose; 9] = [
+pub const FIXED_PURPOSES: [Purpose; 9] = [
     Purpose::Clients,
-    Purpose::Halves,
-    Purpose::Owed,
-    Purpose::Links,
-    Purpose::Answers,
+    Purpose::PartialCommands,
+    Purpose::ClientOutput,
+    Purpose::NodeConnections,
+    Purpose::NodeAnswers,
     Purpose::Nodes,
     Purpose::Discovery,
     Purpose::Platform,
     Purpose::Log,
 ];
 
-/// Most path groups that are told apart; further ones share the last account.
-pub const MOST_GROUPS: usize = 32;
+/// Most path groups with an account of their own; further groups share the last one.
+pub const MAX_PATH_GROUPS: usize = 32;
 
 impl Purpose {
-    /// The purpose of a path group's hits in work.
-    pub fn work(group: usize) -> Self {
-        Purpose::Work(group.min(MOST_GROUPS - 1) as u8)
+    /// The purpose of a path group's in-flight hits.
+    pub fn in_flight(group: usize) -> Self {
+        Purpose::InFlight(group.min(MAX_PATH_GROUPS - 1) as u8)
     }
 
-    /// Its place among all accounts.
+    /// Its index among all accounts.
     pub fn index(self) -> usize {
         match self {
-            Purpose::Work(group) => FIXED.len() + usize::from(group),
-            fixed => FIXED.iter().position(|p| *p == fixed).unwrap_or_default(),
+            Purpose::InFlight(group) => FIXED_PURPOSES.len() + usize::from(group),
+            fixed => FIXED_PURPOSES.iter().position(|p| *p == fixed).unwrap_or_default(),
         }
     }
 
-    /// Its name in the operator's file and in reports; path groups stand together as `work` in the former.
+    /// Its name in the operator's file and in reports; the operator's file sets all path groups together as `work`.
     pub fn name(self) -> &'static str {
         match self {
             Purpose::Clients => "clients",
-            Purpose::Halves => "halves",
-            Purpose::Owed => "owed",
-            Purpose::Links => "links",
-            Purpose::Answers => "answers",
+            Purpose::PartialCommands => "halves",
+            Purpose::ClientOutput => "owed",
+            Purpose::NodeConnections => "links",
+            Purpose::NodeAnswers => "answers",
             Purpose::Nodes => "nodes",
             Purpose::Discovery => "discovery",
             Purpose::Platform => "platform",
             Purpose::Log => "log",
-            Purpose::Work(_) => "work",
+            Purpose::InFlight(_) => "work",
         }
     }
 }
 
-/// What is done with one more that does not fit.
+/// What happens to one more item that does not fit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Full {
-    /// It is left where it is, unread, and looked at again soon.
+pub enum Overflow {
+    /// It stays unread, and the read is retried soon.
     Wait,
-    /// It waits to be taken. Idle connections are closed for it; where there is none, those that were here longest are
-    /// closed once they are answered, so that others have their turn.
-    Turns,
-    /// It is turned away at once, with when to come back; it never ran.
+    /// It waits to be accepted. Idle connections are closed to make room; where none is idle, the longest connected
+    /// ones are closed once their hits are answered.
+    Rotate,
+    /// It is rejected at once, with a time to retry after; it never ran.
     Bounce,
-    /// The forward counts as never sent, and may go elsewhere.
+    /// The forward counts as never sent, and may go to another node.
     Unsent,
-    /// The connection that brings it is closed.
+    /// The connection that carries it is closed.
     Close,
-    /// It is left out, and the report says how many were.
-    LeaveOut,
+    /// It is dropped, and the number of dropped items is reported.
+    Drop,
 }
 
-/// What is given back under pressure, before anything is refused. What a buffer occupies is no matter of a level: it is
-/// given back whenever it stands empty.
+/// What is reclaimed under pressure, before anything is refused. Buffer capacity does not depend on the level: it is
+/// released whenever a buffer is empty.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reclaim {
+pub enum ReclaimAction {
     Nothing,
     /// Idle connections are closed, the longest idle first.
-    Idle,
-    /// Who owes answers is asked no more: its further commands stay unread.
-    Unread,
-    /// Who has taken nothing of its answers for long is closed, the one owed most first.
-    Stuck,
-    /// What is known of nodes that are gone is forgotten at once.
-    Gone,
+    CloseIdle,
+    /// Further commands of clients with unsent answers are not read.
+    PauseReading,
+    /// Clients that have read none of their answers for long are closed, the one with the most unsent bytes first.
+    CloseStalled,
+    /// Records of nodes that have left the list are dropped at once.
+    DropRemovedNodes,
 }
 
-/// The rule of one purpose.
+/// The rule of one purpose: what happens on overflow, and what is reclaimed at each level of pressure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rule {
-    pub full: Full,
-    pub tight: Reclaim,
-    pub short: Reclaim,
+    pub overflow: Overflow,
+    pub elevated: ReclaimAction,
+    pub critical: ReclaimAction,
 }
 
 impl Rule {
-    pub fn reclaim(&self, level: Level) -> Reclaim {
+    /// What is reclaimed at this level.
+    pub fn reclaim_action(&self, level: Level) -> ReclaimAction {
         match level {
-            Level::Easy => Reclaim::Nothing,
-            Level::Tight => self.tight,
-            Level::Short => self.short,
+            Level::Normal => ReclaimAction::Nothing,
+            Level::Elevated => self.elevated,
+            Level::Critical => self.critical,
         }
     }
 }
 
-/// The one table. Nowhere is a hit dropped that was taken: a bounce is for those that never ran, and who is closed
-/// as stuck has taken none of the answers that it was given.
+/// The rule of a purpose. No rule drops a hit that was accepted: only hits that never ran are bounced, and a client
+/// closed as stalled has read none of the answers that are ready for it.
 pub fn rule(purpose: Purpose) -> Rule {
-    let rule = |full, tight, short| Rule { full, tight, short };
+    let rule = |overflow, elevated, critical| Rule { overflow, elevated, critical };
     match purpose {
-        Purpose::Clients => rule(Full::Turns, Reclaim::Idle, Reclaim::Idle),
-        Purpose::Halves => rule(Full::Bounce, Reclaim::Nothing, Reclaim::Nothing),
-        Purpose::Work(_) => rule(Full::Bounce, Reclaim::Nothing, Reclaim::Nothing),
-        Purpose::Owed => rule(Full::Close, Reclaim::Unread, Reclaim::Stuck),
-        Purpose::Links => rule(Full::Unsent, Reclaim::Idle, Reclaim::Idle),
-        Purpose::Answers => rule(Full::Wait, Reclaim::Nothing, Reclaim::Nothing),
-        Purpose::Nodes => rule(Full::LeaveOut, Reclaim::Gone, Reclaim::Gone),
-        Purpose::Discovery => rule(Full::Close, Reclaim::Nothing, Reclaim::Nothing),
-        Purpose::Platform => rule(Full::Close, Reclaim::Nothing, Reclaim::Nothing),
-        Purpose::Log => rule(Full::LeaveOut, Reclaim::Nothing, Reclaim::Nothing),
+        Purpose::Clients => rule(Overflow::Rotate, ReclaimAction::CloseIdle, ReclaimAction::CloseIdle),
+        Purpose::PartialCommands => rule(Overflow::Bounce, ReclaimAction::Nothing, ReclaimAction::Nothing),
+        Purpose::InFlight(_) => rule(Overflow::Bounce, ReclaimAction::Nothing, ReclaimAction::Nothing),
+        Purpose::ClientOutput => {
+            rule(Overflow::Close, ReclaimAction::PauseReading, ReclaimAction::CloseStalled)
+        }
+        Purpose::NodeConnections => {
+            rule(Overflow::Unsent, ReclaimAction::CloseIdle, ReclaimAction::CloseIdle)
+        }
+        Purpose::NodeAnswers => rule(Overflow::Wait, ReclaimAction::Nothing, ReclaimAction::Nothing),
+        Purpose::Nodes => {
+            rule(Overflow::Drop, ReclaimAction::DropRemovedNodes, ReclaimAction::DropRemovedNodes)
+        }
+        Purpose::Discovery => rule(Overflow::Close, ReclaimAction::Nothing, ReclaimAction::Nothing),
+        Purpose::Platform => rule(Overflow::Close, ReclaimAction::Nothing, ReclaimAction::Nothing),
+        Purpose::Log => rule(Overflow::Drop, ReclaimAction::Nothing, ReclaimAction::Nothing),
     }
 }
--- a/crates/budget/tests/ledger.rs
+++ b/crates/budget/tests/ledger.rs
@@ -1,65 +1,70 @@
-//! What the ledger promises, by chance sequences and short stories.
+//! Tests of the ledger, buffers, levels, plans and eviction: random sequences of operations, and single scenarios.
 
 use proptest::prelude::*;
 use rstest::rstest;
 use stonescale::time::{Span, Time};
-use stonescale_budget::buffer::LEAST;
-use stonescale_budget::plan::{LINK, MESSAGE, Share, Wrong};
-use stonescale_budget::purpose::FIXED;
-use stonescale_budget::{Buffer, Charge, Ledger, Level, Plan, Process, Purpose, Shares, victims};
+use stonescale_budget::buffer::MIN_CAPACITY_BYTES;
+use stonescale_budget::plan::{MAX_MESSAGE_BYTES, NODE_CONNECTION_BYTES, PlanError, Share};
+use stonescale_budget::purpose::FIXED_PURPOSES;
+use stonescale_budget::{Buffer, Charge, Ledger, Level, Plan, ProcessLimits, Purpose, Shares, eviction};
 
 const MIB: usize = 1 << 20;
 
-fn process(memory_mib: usize, sockets: usize) -> Process {
-    Process { memory: memory_mib * MIB, clients: sockets / 2, links: sockets / 3, groups: 4 }
+fn limits(memory_mib: usize, sockets: usize) -> ProcessLimits {
+    ProcessLimits {
+        memory_bytes: memory_mib * MIB,
+        max_clients: sockets / 2,
+        max_node_connections: sockets / 3,
+        path_groups: 4,
+    }
 }
 
 fn plan(memory_mib: usize, sockets: usize) -> Plan {
-    Plan::new(process(memory_mib, sockets), &Shares::default()).unwrap()
+    Plan::new(limits(memory_mib, sockets), &Shares::default()).unwrap()
 }
 
 fn purposes() -> Vec<Purpose> {
-    FIXED.into_iter().chain((0..4).map(Purpose::work)).collect()
+    FIXED_PURPOSES.into_iter().chain((0..4).map(Purpose::in_flight)).collect()
 }
 
-// ---- Sums, caps and reserves, whatever happens ----
+// ---- Sums, caps and reserves over random operations ----
 
 #[derive(Clone, Debug)]
 enum Step {
     Charge(usize, usize),
     Resize(usize, usize),
-    Shift(usize, usize),
+    Transfer(usize, usize),
     Split(usize, usize),
-    Join(usize, usize),
-    Free(usize),
+    Merge(usize, usize),
+    Drop(usize),
 }
 
 fn step() -> impl Strategy<Value = Step> {
     let bytes = prop_oneof![0..200usize, 0..(1usize << 20)];
     prop_oneof![
-        (0..13usize, bytes.clone()).prop_map(|(p, n)| Step::Charge(p, n)),
-        (any::<usize>(), bytes.clone()).prop_map(|(c, n)| Step::Resize(c, n)),
-        (any::<usize>(), 0..13usize).prop_map(|(c, p)| Step::Shift(c, p)),
-        (any::<usize>(), bytes).prop_map(|(c, n)| Step::Split(c, n)),
-        (any::<usize>(), any::<usize>()).prop_map(|(c, d)| Step::Join(c, d)),
-        any::<usize>().prop_map(Step::Free),
+        (0..13usize, bytes.clone()).prop_map(|(purpose, bytes)| Step::Charge(purpose, bytes)),
+        (any::<usize>(), bytes.clone()).prop_map(|(charge, bytes)| Step::Resize(charge, bytes)),
+        (any::<usize>(), 0..13usize).prop_map(|(charge, purpose)| Step::Transfer(charge, purpose)),
+        (any::<usize>(), bytes).prop_map(|(charge, bytes)| Step::Split(charge, bytes)),
+        (any::<usize>(), any::<usize>()).prop_map(|(charge, into)| Step::Merge(charge, into)),
+        any::<usize>().prop_map(Step::Drop),
     ]
 }
 
-/// What the charges at hand say, against the ledger's own books.
-fn agree(ledger: &Ledger, plan: &Plan, charges: &[Charge]) -> Result<(), TestCaseError> {
+/// Compares the live charges with what the ledger reports.
+fn check_ledger(ledger: &Ledger, plan: &Plan, charges: &[Charge]) -> Result<(), TestCaseError> {
     let mut lent = 0;
     for row in ledger.report() {
         let held: usize = charges.iter().filter(|c| c.purpose() == row.purpose).map(Charge::bytes).sum();
         prop_assert_eq!(row.account.held, held, "{:?}", row.purpose);
-        prop_assert!(held <= row.account.cap && held <= row.account.high);
+        prop_assert!(held <= row.account.cap && held <= row.account.high_water);
         lent += held.saturating_sub(row.account.reserve);
-        // A reserve is there for its owner, whatever the others hold.
-        prop_assert!(ledger.room(row.purpose) >= row.account.reserve.saturating_sub(held));
+        // The reserve is available to its owner, whatever the others hold.
+        prop_assert!(ledger.available(row.purpose) >= row.account.reserve.saturating_sub(held));
     }
     let reserved: usize = plan.accounts.iter().map(|(_, a)| a.reserve).sum();
-    prop_assert!(lent + reserved <= plan.total);
-    prop_assert_eq!(ledger.sum(), charges.iter().map(Charge::bytes).sum::<usize>());
+    prop_assert!(lent + reserved <= plan.total_bytes);
+    prop_assert_eq!(ledger.total_held(), charges.iter().map(Charge::bytes).sum::<usize>());
     Ok(())
 }
 
@@ -67,94 +72,101 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(400) })]
 
     #[test]
-    fn no_byte_is_lost_or_doubled_no_cap_passed_and_no_reserve_lent_out(
+    fn bytes_are_conserved_and_caps_and_reserves_respected(
         steps in prop::collection::vec(step(), 1..120)
     ) {
         let (plan, purposes) = (plan(8, 256), purposes());
         let ledger = Ledger::new(&plan);
         let mut charges: Vec<Charge> = Vec::new();
         for step in steps {
-            let at = |c: usize| c % charges.len().max(1);
+            let index = |charge: usize| charge % charges.len().max(1);
             match step {
-                Step::Charge(p, n) => charges.extend(ledger.charge(purposes[p], n)),
-                Step::Resize(c, n) if !charges.is_empty() => {
-                    let c = at(c);
-                    let (before, room) = (charges[c].bytes(), ledger.room(charges[c].purpose()));
-                    let done = charges[c].resize(n).is_ok();
-                    prop_assert_eq!(done, n <= before + room, "what there is room for is never refused");
+                Step::Charge(purpose, bytes) => charges.extend(ledger.charge(purposes[purpose], bytes)),
+                Step::Resize(charge, bytes) if !charges.is_empty() => {
+                    let charge = index(charge);
+                    let (before, available) =
+                        (charges[charge].bytes(), ledger.available(charges[charge].purpose()));
+                    let granted = charges[charge].resize(bytes).is_ok();
+                    prop_assert_eq!(granted, bytes <= before + available, "available bytes are never refused");
                 }
-                Step::Shift(c, p) if !charges.is_empty() => {
-                    let c = at(c);
-                    let before = (charges[c].purpose(), charges[c].bytes());
-                    if charges[c].shift(purposes[p]).is_err() {
-                        prop_assert_eq!((charges[c].purpose(), charges[c].bytes()), before);
+                Step::Transfer(charge, purpose) if !charges.is_empty() => {
+                    let charge = index(charge);
+                    let before = (charges[charge].purpose(), charges[charge].bytes());
+                    if charges[charge].transfer(purposes[purpose]).is_err() {
+                        prop_assert_eq!((charges[charge].purpose(), charges[charge].bytes()), before);
                     }
                 }
-                Step::Split(c, n) if !charges.is_empty() => {
-                    let c = at(c);
-                    let part = charges[c].split(n);
+                Step::Split(charge, bytes) if !charges.is_empty() => {
+                    let charge = index(charge);
+                    let part = charges[charge].split(bytes);
                     charges.push(part);
                 }
-                Step::Join(c, d) if charges.len() > 1 => {
-                    let other = charges.swap_remove(at(c));
-                    let d = d % charges.len();
-                    let back = charges[d].join(other);
-                    charges.extend(back);
+                Step::Merge(charge, into) if charges.len() > 1 => {
+                    let other = charges.swap_remove(index(charge));
+                    let into = into % charges.len();
+                    let returned = charges[into].merge(other);
+                    charges.extend(returned);
                 }
-                Step::Free(c) if !charges.is_empty() => drop(charges.swap_remove(at(c))),
+                Step::Drop(charge) if !charges.is_empty() => drop(charges.swap_remove(index(charge))),
                 _ => {}
             }
-            agree(&ledger, &plan, &charges)?;
+            check_ledger(&ledger, &plan, &charges)?;
         }
         charges.clear();
-        prop_assert_eq!(ledger.sum(), 0);
-        // Nothing is left lent: every purpose can fill its cap again, or what is nobody's reserve.
+        prop_assert_eq!(ledger.total_held(), 0);
+        // Nothing is still lent: every purpose can be charged its reserve.
         for (purpose, account) in &plan.accounts {
             prop_assert!(ledger.charge(*purpose, account.reserve).is_ok());
         }
     }
 
     #[test]
-    fn a_buffer_holds_what_was_put_in_and_occupies_what_is_charged(
-        own in any::<bool>(), pieces in prop::collection::vec((0..5_000usize, 0..6_000usize), 1..60)
+    fn a_buffer_keeps_its_bytes_and_is_charged_for_its_capacity(
+        prepaid in any::<bool>(), pieces in prop::collection::vec((0..5_000usize, 0..6_000usize), 1..60)
     ) {
         let ledger = Ledger::new(&plan(8, 256));
-        let mut buffer =
-            if own { Buffer::with_own(&ledger, Purpose::Halves) } else { Buffer::new(&ledger, Purpose::Halves) };
-        let mut wanted: Vec<u8> = Vec::new();
-        for (at, (put, taken)) in pieces.into_iter().enumerate() {
-            let piece = vec![at as u8; put];
+        let mut buffer = if prepaid {
+            Buffer::with_prepaid(&ledger, Purpose::PartialCommands)
+        } else {
+            Buffer::new(&ledger, Purpose::PartialCommands)
+        };
+        let mut expected: Vec<u8> = Vec::new();
+        for (round, (appended, taken)) in pieces.into_iter().enumerate() {
+            let piece = vec![round as u8; appended];
             if buffer.extend(&piece).is_ok() {
-                wanted.extend(&piece);
+                expected.extend(&piece);
             }
-            prop_assert_eq!(buffer.as_slice(), &wanted[..]);
-            let taken = taken.min(wanted.len());
-            if at % 3 == 0 {
-                let block = buffer.take(taken, Purpose::work(1)).unwrap();
-                prop_assert_eq!(block.as_slice(), &wanted[..taken]);
-                prop_assert!(block.occupies() >= taken);
+            prop_assert_eq!(buffer.as_slice(), &expected[..]);
+            let taken = taken.min(expected.len());
+            if round % 3 == 0 {
+                let block = buffer.take_block(taken, Purpose::in_flight(1)).unwrap();
+                prop_assert_eq!(block.as_slice(), &expected[..taken]);
+                prop_assert!(block.charged_bytes() >= taken);
             } else {
                 buffer.consume(taken, 4096);
             }
-            wanted.drain(..taken);
-            prop_assert_eq!(ledger.held(Purpose::Halves), buffer.occupies());
-            let charged = buffer.occupies() + if own { LEAST } else { 0 };
+            expected.drain(..taken);
+            prop_assert_eq!(ledger.held(Purpose::PartialCommands), buffer.charged_bytes());
+            let charged = buffer.charged_bytes() + if prepaid { MIN_CAPACITY_BYTES } else { 0 };
             prop_assert!(charged >= buffer.len());
-            prop_assert_eq!(ledger.held(Purpose::work(1)), 0);
+            prop_assert_eq!(ledger.held(Purpose::in_flight(1)), 0);
         }
     }
 
     #[test]
-    fn a_level_changes_at_most_once_a_crossing(noise in prop::collection::vec(0..60usize, 200)) {
-        // The load hovers at the mark for tight (70 of 100) by less than what lies between entry and exit.
+    fn a_level_changes_at_most_once_while_the_fill_hovers_at_its_threshold(
+        noise in prop::collection::vec(0..60usize, 200)
+    ) {
+        // The fill hovers around the entry threshold of the elevated level (70 of 100) by less than the distance
+        // between its entry and exit thresholds.
         let ledger = Ledger::new(&plan(8, 256));
-        let reach = ledger.room(Purpose::Halves);
-        let mut charge = ledger.open(Purpose::Halves);
+        let limit = ledger.available(Purpose::PartialCommands);
+        let mut charge = ledger.empty_charge(Purpose::PartialCommands);
         let mut changes = 0;
-        for part in noise {
-            let part = (64.0 + part as f64 * 0.2) / 100.0;
-            charge.resize((reach as f64 * part) as usize).unwrap();
-            changes += ledger.changes().len();
+        for step in noise {
+            let fill = (64.0 + step as f64 * 0.2) / 100.0;
+            charge.resize((limit as f64 * fill) as usize).unwrap();
+            changes += ledger.drain_changes().len();
         }
         prop_assert!(changes <= 1);
     }
@@ -163,57 +175,65 @@
 // ---- Reserves under pressure ----
 
 #[test]
-fn a_flood_of_one_path_group_leaves_the_others_their_part() {
+fn a_flood_of_one_path_group_leaves_the_reserves_of_the_others() {
     let ledger = Ledger::new(&plan(32, 1024));
     let mut flood = Vec::new();
-    while let Ok(charge) = ledger.charge(Purpose::work(1), 40_000) {
+    while let Ok(charge) = ledger.charge(Purpose::in_flight(1), 40_000) {
         flood.push(charge);
     }
-    assert_eq!(ledger.level(Purpose::work(1)), Level::Short);
+    assert_eq!(ledger.level(Purpose::in_flight(1)), Level::Critical);
     for group in [0, 2, 3] {
-        assert!(ledger.room(Purpose::work(group)) >= MESSAGE, "path group {group}");
-        assert_eq!(ledger.level(Purpose::work(group)), Level::Easy);
+        assert!(ledger.available(Purpose::in_flight(group)) >= MAX_MESSAGE_BYTES, "path group {group}");
+        assert_eq!(ledger.level(Purpose::in_flight(group)), Level::Normal);
     }
 }
 
 #[test]
-fn what_a_purpose_moves_to_another_is_room_for_that_one() {
-    // Half-read commands become hits in work in one step: where the shared part is all lent, that frees it.
+fn bytes_freed_by_a_transfer_are_available_to_it() {
+    // A partial command becomes an in-flight hit in one step: while the whole shared part is lent, the transfer itself
+    // frees the bytes that it needs.
     let ledger = Ledger::new(&plan(8, 256));
-    let mut half = ledger.charge(Purpose::Halves, ledger.room(Purpose::Halves)).unwrap();
+    let mut partial =
+        ledger.charge(Purpose::PartialCommands, ledger.available(Purpose::PartialCommands)).unwrap();
     let mut rest = Vec::new();
-    for purpose in [Purpose::Owed, Purpose::Answers, Purpose::Links, Purpose::Nodes, Purpose::Discovery] {
-        rest.push(ledger.charge(purpose, ledger.room(purpose)).unwrap());
+    for purpose in [
+        Purpose::ClientOutput,
+        Purpose::NodeAnswers,
+        Purpose::NodeConnections,
+        Purpose::Nodes,
+        Purpose::Discovery,
+    ] {
+        rest.push(ledger.charge(purpose, ledger.available(purpose)).unwrap());
     }
-    let mut command = half.split(60_000);
-    assert!(command.shift(Purpose::work(0)).is_ok());
-    assert_eq!(ledger.held(Purpose::work(0)), 60_000);
+    let mut command = partial.split(60_000);
+    assert!(command.transfer(Purpose::in_flight(0)).is_ok());
+    assert_eq!(ledger.held(Purpose::in_flight(0)), 60_000);
 }
 
 #[test]
-fn changes_of_level_are_told_with_what_was_held() {
+fn level_changes_and_refusals_are_reported() {
     let ledger = Ledger::new(&plan(8, 256));
-    let room = ledger.room(Purpose::Owed);
-    let owed = ledger.charge(Purpose::Owed, room).unwrap();
-    assert!(ledger.charge(Purpose::Owed, 1).is_err());
-    drop(owed);
-    let told: Vec<_> = ledger.changes().iter().map(|c| (c.purpose, c.from, c.to)).collect();
-    let owed = Purpose::Owed;
-    assert_eq!(told, [(owed, Level::Easy, Level::Short), (owed, Level::Short, Level::Easy)]);
-    let row = ledger.report().into_iter().find(|r| r.purpose == owed).unwrap();
-    assert_eq!((row.account.held, row.account.high, row.refusals), (0, room, 1));
+    let available = ledger.available(Purpose::ClientOutput);
+    let charge = ledger.charge(Purpose::ClientOutput, available).unwrap();
+    assert!(ledger.charge(Purpose::ClientOutput, 1).is_err());
+    drop(charge);
+    let changes: Vec<_> = ledger.drain_changes().iter().map(|c| (c.purpose, c.from, c.to)).collect();
+    let output = Purpose::ClientOutput;
+    assert_eq!(changes, [(output, Level::Normal, Level::Critical), (output, Level::Critical, Level::Normal)]);
+    let row = ledger.report().into_iter().find(|r| r.purpose == output).unwrap();
+    assert_eq!((row.account.held, row.account.high_water, row.refusals), (0, available, 1));
 }
 
 #[test]
-fn under_a_new_plan_what_is_held_past_a_cap_is_kept_until_it_is_given_back() {
+fn bytes_held_above_the_cap_of_a_new_plan_are_kept_until_released() {
     let (wide, narrow) = (plan(32, 256), plan(8, 256));
     let ledger = Ledger::new(&wide);
-    let mut held = ledger.charge(Purpose::Owed, wide.of(Purpose::Owed).cap).unwrap();
-    ledger.replan(&narrow);
-    assert!(ledger.room(Purpose::Owed) == 0 && ledger.charge(Purpose::Owed, 1).is_err());
-    assert!(ledger.room(Purpose::Halves) >= narrow.of(Purpose::Halves).reserve);
+    let mut held = ledger.charge(Purpose::ClientOutput, wide.account(Purpose::ClientOutput).cap).unwrap();
+    ledger.apply_plan(&narrow);
+    assert!(ledger.available(Purpose::ClientOutput) == 0 && ledger.charge(Purpose::ClientOutput, 1).is_err());
+    assert!(ledger.available(Purpose::PartialCommands) >= narrow.account(Purpose::PartialCommands).reserve);
     held.resize(0).unwrap();
-    assert_eq!(ledger.room(Purpose::Owed), narrow.of(Purpose::Owed).cap);
+    assert_eq!(ledger.available(Purpose::ClientOutput), narrow.account(Purpose::ClientOutput).cap);
 }
 
 // ---- Plans ----
@@ -223,64 +243,79 @@
 #[case(8, 1024)]
 #[case(32, 256)]
 #[case(192, 1024)]
-fn a_plan_keeps_within_the_limit_and_leaves_every_purpose_a_message(
+fn a_plan_fits_the_limit_and_reserves_a_whole_message_for_every_purpose_with_messages(
     #[case] memory: usize, #[case] sockets: usize,
 ) {
     let plan = plan(memory, sockets);
-    assert!(plan.total <= memory * MIB * 7 / 8);
-    assert!(plan.accounts.iter().map(|(_, a)| a.reserve).sum::<usize>() <= plan.total);
-    for purpose in [Purpose::Halves, Purpose::Owed, Purpose::Answers, Purpose::work(3)] {
-        assert!(plan.of(purpose).reserve >= MESSAGE, "{purpose:?}");
+    assert!(plan.total_bytes <= memory * MIB * 7 / 8);
+    assert!(plan.accounts.iter().map(|(_, a)| a.reserve).sum::<usize>() <= plan.total_bytes);
+    for purpose in
+        [Purpose::PartialCommands, Purpose::ClientOutput, Purpose::NodeAnswers, Purpose::in_flight(3)]
+    {
+        assert!(plan.account(purpose).reserve >= MAX_MESSAGE_BYTES, "{purpose:?}");
     }
-    assert!(plan.of(Purpose::Links).reserve >= sockets / 3 * LINK);
+    assert!(plan.account(Purpose::NodeConnections).reserve >= sockets / 3 * NODE_CONNECTION_BYTES);
 }
 
 #[rstest]
 #[case(4, 1024)]
 #[case(2, 256)]
 #[case(0, 16)]
-fn a_limit_too_small_is_refused_with_what_is_missing(#[case] memory: usize, #[case] sockets: usize) {
-    let Err(Wrong::TooLittle { missing, .. }) = Plan::new(process(memory, sockets), &Shares::default())
+fn a_limit_too_small_is_rejected_with_the_missing_bytes(#[case] memory: usize, #[case] sockets: usize) {
+    let Err(PlanError::InsufficientMemory { missing_bytes, .. }) =
+        Plan::new(limits(memory, sockets), &Shares::default())
     else {
-        panic!("{memory} MiB and {sockets} descriptors passed");
+        panic!("{memory} MiB and {sockets} descriptors were accepted");
     };
-    let enough = memory + missing.div_ceil(MIB);
-    assert!(Plan::new(process(enough, sockets), &Shares::default()).is_ok(), "{missing} missing");
+    let sufficient = memory + missing_bytes.div_ceil(MIB);
+    assert!(
+        Plan::new(limits(sufficient, sockets), &Shares::default()).is_ok(),
+        "{missing_bytes} bytes missing"
+    );
 }
 
 #[rstest]
-#[case("halves", 0.0, 0.0, Wrong::NoCap("halves"))]
-#[case("work", 0.0, 0.0, Wrong::NoCap("work"))]
-#[case("owed", 1.5, 0.1, Wrong::NoPart("owed"))]
-#[case("owed", 0.5, -0.1, Wrong::NoPart("owed"))]
-#[case("log", 0.1, 0.2, Wrong::ReserveOverCap("log", Share { cap: 0.1, reserve: 0.2 }))]
-fn wrong_shares_are_refused(
-    #[case] name: &str, #[case] cap: f64, #[case] reserve: f64, #[case] wrong: Wrong,
+#[case("halves", 0.0, 0.0, PlanError::ZeroCap("halves"))]
+#[case("work", 0.0, 0.0, PlanError::ZeroCap("work"))]
+#[case("owed", 1.5, 0.1, PlanError::NotAFraction("owed"))]
+#[case("owed", 0.5, -0.1, PlanError::NotAFraction("owed"))]
+#[case("log", 0.1, 0.2, PlanError::ReserveAboveCap("log", Share { cap: 0.1, reserve: 0.2 }))]
+fn invalid_shares_are_rejected(
+    #[case] name: &str, #[case] cap: f64, #[case] reserve: f64, #[case] error: PlanError,
 ) {
     let mut shares = Shares::default();
     assert!(shares.set(name, Share { cap, reserve }));
-    assert_eq!(shares.check(), Err(wrong));
+    assert_eq!(shares.check(), Err(error));
 }
 
 #[test]
-fn reserves_of_more_than_all_are_refused() {
+fn reserves_above_the_total_are_rejected() {
     let mut shares = Shares::default();
     for name in ["work", "halves", "owed"] {
         shares.set(name, Share { cap: 0.5, reserve: 0.4 });
     }
-    assert!(matches!(shares.check(), Err(Wrong::ReservesOverAll(sum)) if sum > 1.0));
+    assert!(matches!(shares.check(), Err(PlanError::ReservesAboveTotal(sum)) if sum > 1.0));
     assert!(!shares.set("hats", Share { cap: 0.5, reserve: 0.4 }));
 }
 
-// ---- Whose memory goes first ----
+// ---- Selection of connections to close ----
 
-fn client(owed: usize, still_ms: u64, asked: u64, working: bool) -> victims::Client {
-    let moved = Time::at(100_000_000_000) - Span::millis(still_ms);
-    victims::Client { owed, moved, taken: moved, asked, working, leaving: false }
+fn client(
+    unsent_bytes: usize, inactive_ms: u64, commands: u64, has_pending_hits: bool,
+) -> eviction::ClientState {
+    let last_activity = Time::at(100_000_000_000) - Span::millis(inactive_ms);
+    eviction::ClientState {
+        unsent_bytes,
+        last_activity,
+        accepted_at: last_activity,
+        commands,
+        has_pending_hits,
+        closing: false,
+    }
 }
 
 #[test]
-fn idle_clients_that_asked_once_go_first_and_none_with_a_hit_in_work() {
+fn idle_connections_with_one_command_time_out_sooner_and_none_with_pending_hits_is_selected() {
     let clients = [
         client(0, 900, 1, false),
         client(0, 900, 5, false),
@@ -288,13 +323,13 @@
         client(0, 9_000, 1, true),
     ];
     let now = Time::at(100_000_000_000);
-    let spared = (Span::millis(2_000), Span::millis(200));
-    assert_eq!(victims::idle(&clients, now, spared, 16), [2, 0]);
-    assert_eq!(victims::idle(&clients, now, spared, 1), [2]);
+    let idle_timeouts = (Span::millis(2_000), Span::millis(200));
+    assert_eq!(eviction::select_idle(&clients, now, idle_timeouts, 16), [2, 0]);
+    assert_eq!(eviction::select_idle(&clients, now, idle_timeouts, 1), [2]);
 }
 
 #[test]
-fn of_those_that_take_nothing_the_most_owed_go_until_enough_is_free() {
+fn stalled_connections_with_the_most_unsent_bytes_are_selected_until_enough_is_freed() {
     let clients = [
         client(10, 900, 1, false),
         client(500, 900, 1, true),
@@ -302,14 +337,14 @@
         client(400, 2_000, 1, false),
     ];
     let now = Time::at(100_000_000_000);
-    assert_eq!(victims::stuck(&clients, now, Span::millis(500), 600), [1, 3]);
-    assert_eq!(victims::stuck(&clients, now, Span::millis(500), 1), [1]);
+    assert_eq!(eviction::select_stalled(&clients, now, Span::millis(500), 600), [1, 3]);
+    assert_eq!(eviction::select_stalled(&clients, now, Span::millis(500), 1), [1]);
 }
 
 #[test]
-fn where_all_are_busy_those_here_longest_make_room_after_a_tenure() {
+fn the_longest_connected_are_rotated_after_a_minimum_tenure() {
     let clients = [client(0, 1_500, 3, true), client(0, 900, 1, true), client(0, 4_000, 90, true)];
     let now = Time::at(100_000_000_000);
-    assert_eq!(victims::rotate(&clients, now, Span::millis(1_000), 5), [2, 0]);
-    assert_eq!(victims::rotate(&clients, now, Span::millis(1_000), 1), [2]);
+    assert_eq!(eviction::select_rotated(&clients, now, Span::millis(1_000), 5), [2, 0]);
+    assert_eq!(eviction::select_rotated(&clients, now, Span::millis(1_000), 1), [2]);
 }
--- a/crates/lab/src/sizes.rs
+++ b/crates/lab/src/sizes.rs
@@ -11,7 +11,7 @@
 use std::net::TcpStream;
 use std::path::Path;
 use std::time::Duration;
-use stonescale_budget::plan::{CLIENT, HIT, LINK};
+use stonescale_budget::plan::{CLIENT_CONNECTION_BYTES, HIT_BYTES, NODE_CONNECTION_BYTES};
 
 /// Connections that are opened; half of them count, as the first ones bring what all share.
 const CONNECTIONS: usize = 400;
@@ -43,7 +43,7 @@
         let whole = program.logged("memory of the process", WAIT)?;
         let mut report = Report { resident: number(&whole, "resident=")?, rows: Vec::new() };
         // The log's own purpose is the last fixed one; path groups follow.
-        for _ in 0..stonescale_budget::purpose::FIXED.len() + crate::site::groups().len() {
+        for _ in 0..stonescale_budget::purpose::FIXED_PURPOSES.len() + crate::site::groups().len() {
             let line = program.logged("memory by purpose", WAIT)?;
             let name = line.split("purpose=\"").nth(1).and_then(|t| t.split('"').next()).unwrap_or_default();
             report.rows.push((name.to_owned(), number(&line, " held=")?, number(&line, " high=")?));
@@ -101,14 +101,14 @@
     let before = Report::of(&world.program)?;
     let second = open(&world, CONNECTIONS / 2, &mut at).map_err(io)?;
     let after = Report::of(&world.program)?;
-    let many = (after.held("clients") - before.held("clients")) / CLIENT;
+    let many = (after.held("clients") - before.held("clients")) / CLIENT_CONNECTION_BYTES;
     let grown = after.resident.saturating_sub(before.resident) as f64;
     let links = (after.held("links") as f64 - before.held("links") as f64).max(0.0);
     let client = Size {
         what: "client connection",
         many,
         measured: (grown - links) / many.max(1) as f64,
-        planned: CLIENT as f64,
+        planned: CLIENT_CONNECTION_BYTES as f64,
     };
     drop((first, second, world));
 
@@ -125,14 +125,14 @@
     std::thread::sleep(Duration::from_millis(1_500));
     let peak = world.program.sample().ok_or("the marshal ended")?.peak;
     let after = Report::of(&world.program)?;
-    let many = after.high("work.read") / (HIT + length);
+    let many = after.high("work.read") / (HIT_BYTES + length);
     let others = after.others(&["work.read"]) as f64 - before.others(&["work.read"]) as f64;
     let grown = peak.saturating_sub(before.resident) as f64;
     let hit = Size {
         what: "hit in work, with its command",
         many,
         measured: (grown - others.max(0.0)) / many.max(1) as f64,
-        planned: (HIT + length) as f64,
+        planned: (HIT_BYTES + length) as f64,
     };
     drop((streams, world));
 
@@ -149,12 +149,16 @@
     };
     let (few, more) = (under(100.0)?, under(1_500.0)?);
     let grown = |purpose: &str| more.held(purpose) as f64 - few.held(purpose) as f64;
-    let many = grown("links") / LINK as f64;
+    let many = grown("links") / NODE_CONNECTION_BYTES as f64;
     let hits = grown("work.read") / hit.planned * hit.measured;
     let clients = grown("clients") / client.planned * client.measured;
     let measured = (more.resident as f64 - few.resident as f64 - hits - clients) / many.max(1.0);
     let many = many.max(0.0) as usize;
-    Ok(vec![client, hit, Size { what: "node connection", many, measured, planned: LINK as f64 }])
+    Ok(vec![
+        client,
+        hit,
+        Size { what: "node connection", many, measured, planned: NODE_CONNECTION_BYTES as f64 },
+    ])
 }
 
 pub fn table(sizes: &[Size]) -> String {
--- a/crates/marshal/src/client.rs
+++ b/crates/marshal/src/client.rs
@@ -10,10 +10,10 @@
 use std::net::TcpStream;
 use std::rc::{Rc, Weak};
 use stonescale::time::{Span, Time};
-use stonescale_budget::buffer::{Block, LEAST};
-use stonescale_budget::plan::CLIENT;
-use stonescale_budget::purpose::Reclaim;
-use stonescale_budget::{Buffer, Charge, Ledger, Purpose, victims};
+use stonescale_budget::buffer::{Block, MIN_CAPACITY_BYTES};
+use stonescale_budget::plan::CLIENT_CONNECTION_BYTES;
+use stonescale_budget::purpose::ReclaimAction;
+use stonescale_budget::{Buffer, Charge, Ledger, Purpose, eviction};
 
 /// Commands of one connection in work, and bytes of answers not yet taken: past it, reading waits.
 pub const MOST_SLOTS: usize = 128;
@@ -72,7 +72,7 @@
 impl Client {
     /// A client whose connection was taken just now; its record is charged already.
     pub fn new(crowd: Rc<Crowd>, stream: Async<TcpStream>, record: Charge) -> Rc<Self> {
-        let out = RefCell::new(Buffer::new(&crowd.ledger, Purpose::Owed));
+        let out = RefCell::new(Buffer::new(&crowd.ledger, Purpose::ClientOutput));
         let now = crowd.clock.now();
         Rc::new(Client {
             crowd,
@@ -151,11 +151,11 @@
     /// the hit is errored: that promises nothing.
     fn owe(&self, answer: Answer) -> Answer {
         let Answer::Value(mut block) = answer else { return answer };
-        if block.shift(Purpose::Owed).is_ok() {
+        if block.transfer(Purpose::ClientOutput).is_ok() {
             return Answer::Value(block);
         }
-        self.crowd.relieve(block.occupies());
-        match block.shift(Purpose::Owed) {
+        self.crowd.relieve(block.charged_bytes());
+        match block.transfer(Purpose::ClientOutput) {
             Ok(()) => Answer::Value(block),
             Err(_) => Answer::Line(command::errored()),
         }
@@ -223,7 +223,8 @@
     /// runs short, whoever owes is asked no more.
     pub fn may_ask(&self) -> bool {
         let owed = self.out.borrow().len();
-        let calm = owed == 0 || self.crowd.ledger.reclaim(Purpose::Owed) == Reclaim::Nothing;
+        let calm =
+            owed == 0 || self.crowd.ledger.reclaim_action(Purpose::ClientOutput) == ReclaimAction::Nothing;
         self.slots.borrow().len() < MOST_SLOTS && owed < MOST_UNSENT && calm
     }
 
@@ -251,16 +252,16 @@
         slots.into_iter().filter_map(unanswered).collect()
     }
 
-    fn seen(&self) -> victims::Client {
+    fn seen(&self) -> eviction::ClientState {
         let answered = |s: &Slot| if let Slot::Answered(answer) = s { answer.as_slice().len() } else { 0 };
         let waiting = self.slots.try_borrow().map(|slots| slots.iter().map(answered).sum::<usize>());
-        victims::Client {
-            owed: self.out.try_borrow().map_or(0, |out| out.len()) + waiting.unwrap_or(0),
-            moved: self.used.get(),
-            taken: self.taken,
-            asked: self.slots.try_borrow().map_or(0, |slots| self.first.get() + slots.len() as u64),
-            working: self.slots.try_borrow().map_or(true, |slots| !slots.is_empty()),
-            leaving: self.gone.get() || self.cut.get() || self.closing.get(),
+        eviction::ClientState {
+            unsent_bytes: self.out.try_borrow().map_or(0, |out| out.len()) + waiting.unwrap_or(0),
+            last_activity: self.used.get(),
+            accepted_at: self.taken,
+            commands: self.slots.try_borrow().map_or(0, |slots| self.first.get() + slots.len() as u64),
+            has_pending_hits: self.slots.try_borrow().map_or(true, |slots| !slots.is_empty()),
+            closing: self.gone.get() || self.cut.get() || self.closing.get(),
         }
     }
 }
@@ -279,7 +280,7 @@
 
     /// A connection that was taken just now, if there is room for its record.
     pub fn join(self: &Rc<Self>, stream: Async<TcpStream>) -> Option<Rc<Client>> {
-        let record = self.ledger.charge(Purpose::Clients, CLIENT).ok()?;
+        let record = self.ledger.charge(Purpose::Clients, CLIENT_CONNECTION_BYTES).ok()?;
         let client = Client::new(self.clone(), stream, record);
         self.open.borrow_mut().retain(|c| c.strong_count() > 0);
         self.open.borrow_mut().push(Rc::downgrade(&client));
@@ -294,8 +295,8 @@
     fn relieve(&self, bytes: usize) {
         let all = self.all();
         let seen: Vec<_> = all.iter().map(|c| c.seen()).collect();
-        for at in victims::stuck(&seen, self.clock.now(), STUCK, bytes) {
-            self.ledger.reclaimed(Purpose::Owed, seen[at].owed);
+        for at in eviction::select_stalled(&seen, self.clock.now(), STUCK, bytes) {
+            self.ledger.record_reclaimed(Purpose::ClientOutput, seen[at].unsent_bytes);
             all[at].cut();
         }
     }
@@ -304,7 +305,7 @@
     pub fn close_idle(&self, spared: (Span, Span), most: usize) -> usize {
         let all = self.all();
         let seen: Vec<_> = all.iter().map(|c| c.seen()).collect();
-        let chosen = victims::idle(&seen, self.clock.now(), spared, most);
+        let chosen = eviction::select_idle(&seen, self.clock.now(), spared, most);
         let still: Vec<_> = chosen.iter().map(|at| &all[*at]).filter(|c| c.idle()).collect();
         for client in &still {
             client.unwanted.set(true);
@@ -315,11 +316,12 @@
 
     /// Gives back what the table says at the levels of the moment; `spared` as for `close_idle`, `most` at one go.
     pub fn ease(&self, spared: (Span, Span), most: usize) {
-        if self.ledger.reclaim(Purpose::Clients) == Reclaim::Idle {
-            self.ledger.reclaimed(Purpose::Clients, self.close_idle(spared, most) * CLIENT);
+        if self.ledger.reclaim_action(Purpose::Clients) == ReclaimAction::CloseIdle {
+            self.ledger
+                .record_reclaimed(Purpose::Clients, self.close_idle(spared, most) * CLIENT_CONNECTION_BYTES);
         }
-        if self.ledger.reclaim(Purpose::Owed) == Reclaim::Stuck {
-            self.relieve(self.ledger.over(Purpose::Owed));
+        if self.ledger.reclaim_action(Purpose::ClientOutput) == ReclaimAction::CloseStalled {
+            self.relieve(self.ledger.excess(Purpose::ClientOutput));
         }
     }
 
@@ -327,8 +329,8 @@
     pub fn rotate(&self, tenure: Span, most: usize) {
         let all = self.all();
         let seen: Vec<_> = all.iter().map(|c| c.seen()).collect();
-        for at in victims::rotate(&seen, self.clock.now(), tenure, most) {
-            self.ledger.reclaimed(Purpose::Clients, CLIENT);
+        for at in eviction::select_rotated(&seen, self.clock.now(), tenure, most) {
+            self.ledger.record_reclaimed(Purpose::Clients, CLIENT_CONNECTION_BYTES);
             all[at].closing.set(true);
             all[at].signal.raise();
         }
@@ -337,8 +339,9 @@
 
 /// A short line as an answer; a long one only where there is room for it.
 pub fn line(ledger: &Ledger, text: Vec<u8>) -> Answer {
-    if text.len() <= LEAST {
+    if text.len() <= MIN_CAPACITY_BYTES {
         return Answer::Line(text);
     }
-    Block::copy(ledger, Purpose::Owed, &text).map_or_else(|_| Answer::Line(command::errored()), Answer::Value)
+    Block::copy(ledger, Purpose::ClientOutput, &text)
+        .map_or_else(|_| Answer::Line(command::errored()), Answer::Value)
 }
--- a/crates/marshal/src/clients.rs
+++ b/crates/marshal/src/clients.rs
@@ -14,8 +14,8 @@
 use std::time::{Duration, Instant};
 use stonescale::policy::come_back;
 use stonescale::time::Span;
-use stonescale_budget::buffer::LEAST;
-use stonescale_budget::plan::{CLIENT, HIT};
+use stonescale_budget::buffer::MIN_CAPACITY_BYTES;
+use stonescale_budget::plan::{CLIENT_CONNECTION_BYTES, HIT_BYTES};
 use stonescale_budget::{Buffer, Ledger, Purpose};
 use stonescale_formats::resp::{Kind, Scanner};
 use stonescale_site::Names;
@@ -93,7 +93,9 @@
     pub async fn accept(self: Rc<Self>, listener: Rc<Async<TcpListener>>, tasks: Rc<LocalExecutor<'static>>) {
         let (mut short, mut rotated) = (false, Instant::now());
         loop {
-            if self.count.get() >= self.most || self.ledger.room(Purpose::Clients) < CLIENT {
+            if self.count.get() >= self.most
+                || self.ledger.available(Purpose::Clients) < CLIENT_CONNECTION_BYTES
+            {
                 // Nobody idle: those that fill the connections must not keep all others out.
                 if self.close_idle(AT_ONCE) == 0 && rotated.elapsed() >= AGAIN * AT_ONCE as u32 {
                     rotated = Instant::now();
@@ -177,7 +179,7 @@
         let clock = self.crowd.clock;
         let half = crate::clock::duration(HALF);
         let mut reading = Reading {
-            held: Buffer::with_own(&self.ledger, Purpose::Halves),
+            held: Buffer::with_prepaid(&self.ledger, Purpose::PartialCommands),
             scanner: Scanner::new(BOUNDS),
             passed: None,
             lost: None,
@@ -225,7 +227,7 @@
                 (None, _) => Some(Instant::now() + crate::clock::duration(SPARED * 0.25)),
             };
             if turn(stream, read, client.owes(), &client.signal, due).await == Turn::Readable {
-                let most = reading.passed.as_ref().map_or(reading.held.spare(), |p| p.left);
+                let most = reading.passed.as_ref().map_or(reading.held.spare_capacity(), |p| p.left);
                 match read_some(stream, &mut self.scratch.borrow_mut()[..most.min(VALUE)]) {
                     Ok(Some([])) | Err(_) => return Ok(()),
                     Ok(Some(bytes)) => {
@@ -248,8 +250,8 @@
         let Reading { held, scanner, passed, .. } = reading;
         let wants = scanner.wants();
         let more = match wants {
-            None if held.spare() > 0 => 0,
-            None => LEAST,
+            None if held.spare_capacity() > 0 => 0,
+            None => MIN_CAPACITY_BYTES,
             Some((end, _)) => end.saturating_sub(held.len()),
         };
         if passed.is_some() || held.reserve(more).is_ok() {
@@ -305,8 +307,9 @@
             match request {
                 Ok(Request::Hit(ask)) => {
                     let group = ask.group;
-                    let Ok(block) = held.take_with(length, Purpose::work(group), HIT) else {
-                        held.consume(length, LEAST);
+                    let Ok(block) = held.take_block_with_extra(length, Purpose::in_flight(group), HIT_BYTES)
+                    else {
+                        held.consume(length, MIN_CAPACITY_BYTES);
                         client.answer(place, Answer::Line(self.bounced(group)));
                         continue;
                     };
@@ -315,11 +318,11 @@
                     self.inbox.arrival(Arrival { client, place, command, came });
                 }
                 Ok(Request::Other(answer)) => {
-                    held.consume(length, LEAST);
+                    held.consume(length, MIN_CAPACITY_BYTES);
                     client.answer(place, line(&self.ledger, answer));
                 }
                 Err(why) => {
-                    held.consume(length, LEAST);
+                    held.consume(length, MIN_CAPACITY_BYTES);
                     self.faulty(client, place, &why);
                 }
             }
--- a/crates/marshal/src/core.rs
+++ b/crates/marshal/src/core.rs
@@ -18,8 +18,8 @@
 use stonescale::state::Timer;
 use stonescale::time::{Span, Time};
 use stonescale_budget::buffer::Block;
-use stonescale_budget::plan::NODE;
-use stonescale_budget::purpose::Reclaim;
+use stonescale_budget::plan::NODE_RECORD_BYTES;
+use stonescale_budget::purpose::ReclaimAction;
 use stonescale_budget::{Charge, Ledger, Purpose};
 use stonescale_store::{Set, Slots, Wheel};
 use tracing::{debug, info, trace, warn};
@@ -105,12 +105,12 @@
         if let Some((number, _)) = self.ids.get(&id) {
             return Some(*number);
         }
-        let charge = self.ledger.charge(Purpose::Nodes, NODE).or_else(|_| {
+        let charge = self.ledger.charge(Purpose::Nodes, NODE_RECORD_BYTES).or_else(|_| {
             // Those that are gone make room before their time; once a list, as that looks at them all.
             if !std::mem::replace(&mut self.swept, true) {
                 self.forget(true);
             }
-            self.ledger.charge(Purpose::Nodes, NODE)
+            self.ledger.charge(Purpose::Nodes, NODE_RECORD_BYTES)
         });
         let charge = charge.ok()?;
         let next = self.ids.len() + self.free.len();
@@ -123,7 +123,7 @@
     fn forget(&mut self, short: bool) {
         let over = self.nodes.sweep(short);
         if short {
-            self.ledger.reclaimed(Purpose::Nodes, over.len() * NODE);
+            self.ledger.record_reclaimed(Purpose::Nodes, over.len() * NODE_RECORD_BYTES);
         }
         if !over.is_empty() {
             let gone: HashSet<usize> = over.iter().copied().collect();
@@ -277,7 +277,8 @@
                 Due::Token(token) => self.marshal.woken(&mut self.doors, now, token),
                 Due::Forward(hit, hop) => self.doors.give_up(hit, hop, Ending::WaitedOut),
                 Due::Sweep => {
-                    let short = self.doors.ledger.reclaim(Purpose::Nodes) == Reclaim::Gone;
+                    let short =
+                        self.doors.ledger.reclaim_action(Purpose::Nodes) == ReclaimAction::DropRemovedNodes;
                     self.doors.forget(short);
                     debug!(
                         "{} hits open, {} taken so far, {} node connections",
--- a/crates/marshal/src/discovery.rs
+++ b/crates/marshal/src/discovery.rs
@@ -198,7 +198,7 @@
         stream.get_ref().write_all(ask.as_bytes()).map_err(|e| format!("not asked: {e}"))?;
         let (mut response, mut lines) =
             (Response::default(), Lines::new(LINE.min(self.ledger.cap(Purpose::Discovery) / LINE_PART)));
-        let mut charge = self.ledger.open(Purpose::Discovery);
+        let mut charge = self.ledger.empty_charge(Purpose::Discovery);
         let (mut scratch, mut body, mut line) = (vec![0; 16 * 1024], Vec::new(), Vec::new());
         loop {
             let ended = Self::bytes(&stream, &mut scratch, &mut response, &mut body).await?;
--- a/crates/marshal/src/memory.rs
+++ b/crates/marshal/src/memory.rs
@@ -6,7 +6,7 @@
 /// The name under which a purpose is reported; a path group's hits in work with the group's own.
 fn name(purpose: Purpose, groups: &[String]) -> String {
     match purpose {
-        Purpose::Work(group) => {
+        Purpose::InFlight(group) => {
             format!("work.{}", groups.get(usize::from(group)).map_or("other", String::as_str))
         }
         fixed => fixed.name().into(),
@@ -26,7 +26,7 @@
 
 /// One event for each purpose, and one for the process.
 pub fn report(ledger: &Ledger, groups: &[String], clients: usize) {
-    let ((resident, program), held) = (resident(), ledger.sum());
+    let ((resident, program), held) = (resident(), ledger.total_held());
     let unaccounted = resident.saturating_sub(held);
     info!(resident, program, held, unaccounted, clients, "memory of the process");
     for row in ledger.report() {
@@ -35,7 +35,7 @@
             held = row.account.held,
             cap = row.account.cap,
             reserve = row.account.reserve,
-            high = row.account.high,
+            high = row.account.high_water,
             refusals = row.refusals,
             reclaimed = row.reclaimed,
             changes = row.changes,
@@ -47,7 +47,7 @@
 
 /// One event for each change of a level since the last time.
 pub fn changes(ledger: &Ledger, groups: &[String]) {
-    for change in ledger.changes() {
+    for change in ledger.drain_changes() {
         warn!(
             purpose = name(change.purpose, groups),
             from = change.from.name(),
--- a/crates/marshal/src/nodes.rs
+++ b/crates/marshal/src/nodes.rs
@@ -15,10 +15,10 @@
 use std::time::{Duration, Instant};
 use stonescale::host::Readiness;
 use stonescale::time::{Span, Time};
-use stonescale_budget::buffer::LEAST;
-use stonescale_budget::plan::LINK;
-use stonescale_budget::purpose::Reclaim;
-use stonescale_budget::{Buffer, Charge, Ledger, Purpose, Refused};
+use stonescale_budget::buffer::MIN_CAPACITY_BYTES;
+use stonescale_budget::plan::NODE_CONNECTION_BYTES;
+use stonescale_budget::purpose::ReclaimAction;
+use stonescale_budget::{BudgetExceeded, Buffer, Charge, Ledger, Purpose};
 use stonescale_formats::resp::{Bounds, Kind, Scanner};
 use tracing::{debug, info, warn};
 
@@ -112,7 +112,7 @@
                 }
                 Ok(())
             };
-            put(&mut out).map_err(|_: Refused| {
+            put(&mut out).map_err(|_: BudgetExceeded| {
                 if wrote > 0 {
                     self.finish(Ending::NoSocket);
                 }
@@ -253,8 +253,8 @@
             let shared = shared.filter(|l| l.flights.borrow().len() < self.multiplex);
             if let Some(link) = shared.min_by_key(|l| l.flights.borrow().len()).cloned() {
                 // What one node does not read must not take the room of what goes to the others.
-                let queued: usize = stand.links.iter().map(|l| l.out.borrow().occupies()).sum();
-                if queued > self.ledger.cap(Purpose::Links) / NODE_PART {
+                let queued: usize = stand.links.iter().map(|l| l.out.borrow().charged_bytes()).sum();
+                if queued > self.ledger.cap(Purpose::NodeConnections) / NODE_PART {
                     return Err(Ending::NoSocket);
                 }
                 link.queue(hit, hop, command, wait)?;
@@ -265,12 +265,15 @@
             let idle = all.filter(|l| l.idle() && !l.retired.get()).min_by_key(|l| l.used.get());
             idle.ok_or(Ending::NoSocket)?.finish(Ending::Idle);
         }
-        let record = self.ledger.charge(Purpose::Links, LINK).map_err(|_| Ending::NoSocket)?;
+        let record = self
+            .ledger
+            .charge(Purpose::NodeConnections, NODE_CONNECTION_BYTES)
+            .map_err(|_| Ending::NoSocket)?;
         let link = Rc::new(Link {
             opened: now,
             stream: RefCell::default(),
             flights: RefCell::default(),
-            out: RefCell::new(Buffer::new(&self.ledger, Purpose::Links)),
+            out: RefCell::new(Buffer::new(&self.ledger, Purpose::NodeConnections)),
             queued: Cell::new(0),
             written: Cell::new(0),
             retired: Cell::new(false),
@@ -317,13 +320,13 @@
     /// that are gone for as long, or at all where room is `short`, and returns their numbers.
     pub fn sweep(&mut self, short: bool) -> Vec<usize> {
         let now = self.clock.now();
-        let pressed = self.ledger.reclaim(Purpose::Links) == Reclaim::Idle;
+        let pressed = self.ledger.reclaim_action(Purpose::NodeConnections) == ReclaimAction::CloseIdle;
         let rest = self.idle * RETIRE * if pressed { PRESSED } else { 1.0 };
         for stand in self.stands.iter_mut().flatten() {
             stand.links.retain(|l| !l.retired.get());
             for link in stand.links.iter().filter(|l| l.idle() && now - l.used.get() >= rest) {
                 if pressed {
-                    self.ledger.reclaimed(Purpose::Links, LINK);
+                    self.ledger.record_reclaimed(Purpose::NodeConnections, NODE_CONNECTION_BYTES);
                 }
                 link.finish(Ending::Idle);
             }
@@ -412,7 +415,7 @@
     async fn carry(&self) -> Ending {
         let link = &self.link;
         let Some(stream) = link.stream.borrow().clone() else { return Ending::Broken };
-        let mut held = Buffer::with_own(&self.ledger, Purpose::Answers);
+        let mut held = Buffer::with_prepaid(&self.ledger, Purpose::NodeAnswers);
         let mut scanner = Scanner::new(BOUNDS);
         // When the answer began that is not whole yet.
         let mut begun = None;
@@ -424,8 +427,8 @@
                 return ending;
             }
             let more = match scanner.wants() {
-                None if held.spare() > 0 => 0,
-                None => LEAST,
+                None if held.spare_capacity() > 0 => 0,
+                None => MIN_CAPACITY_BYTES,
                 Some((end, _)) => end.saturating_sub(held.len()),
             };
             // Without room the answer stays where it is, until there is some or its time is over.
@@ -442,7 +445,7 @@
             }
             {
                 let mut scratch = self.scratch.borrow_mut();
-                let most = held.spare().min(VALUE);
+                let most = held.spare_capacity().min(VALUE);
                 match read_some(&stream, &mut scratch[..most]) {
                     Ok(Some([])) => return Ending::Closed,
                     // There is room for all that was read.
@@ -486,9 +489,9 @@
             let flight = flights.pop_front_if(|f| self.link.sent(f)).ok_or("no forward was out")?;
             drop(flights);
             let wanted = !flight.told && ending == Ending::Served;
-            let value = wanted.then(|| held.take(length, Purpose::Answers));
+            let value = wanted.then(|| held.take_block(length, Purpose::NodeAnswers));
             if !matches!(value, Some(Ok(_))) {
-                held.consume(length, LEAST);
+                held.consume(length, MIN_CAPACITY_BYTES);
             }
             if !flight.told {
                 let (hit, hop, sent) = (flight.hit, flight.hop, true);
--- a/crates/marshal/src/platform.rs
+++ b/crates/marshal/src/platform.rs
@@ -229,7 +229,7 @@
         let subscription = self.next_id();
         line.call(subscription, "subscribe", Value::Null);
         let (mut lines, mut text, mut scratch) = (Lines::new(LINE), Vec::new(), vec![0; 4 * 1024]);
-        let mut charge = self.ledger.open(Purpose::Platform);
+        let mut charge = self.ledger.empty_charge(Purpose::Platform);
         let mut silent_at = Instant::now() + SILENCE;
         loop {
             self.expire(post, line);
@@ -296,7 +296,7 @@
 
 impl Line {
     fn new(ledger: &Ledger) -> Self {
-        Line { out: Buffer::with_own(ledger, Purpose::Platform), queued: 0, written: 0, heard: false }
+        Line { out: Buffer::with_prepaid(ledger, Purpose::Platform), queued: 0, written: 0, heard: false }
     }
 
     /// Queues a call if there is room; returns how many bytes will have been written with it.
--- a/crates/marshal/src/serve.rs
+++ b/crates/marshal/src/serve.rs
@@ -80,9 +80,9 @@
          at most {clients} client and {links} node connections; {} of {} KiB by purpose, {} KiB for hits of one group",
         names.groups.len(),
         entries.len(),
-        plan.total >> 10,
+        plan.total_bytes >> 10,
         memory >> 10,
-        plan.of(Purpose::work(0)).cap >> 10,
+        plan.account(Purpose::in_flight(0)).cap >> 10,
     );
     Ok((said, plan))
 }
@@ -102,7 +102,7 @@
     let config = startup::place(files.config)?;
     let Read { mut root, operator, plan, said, .. } = Read::of(&config, files.operator.as_deref())?;
     let lines = operator.log.lines_per_second;
-    let log = logger::start(files.log, operator.log.format, lines, plan.of(Purpose::Log).reserve);
+    let log = logger::start(files.log, operator.log.format, lines, plan.account(Purpose::Log).reserve);
     info!("{said}");
     let (_, listen, there) = startup::identity(&root)?;
     let (most_clients, most_links, _) = startup::limits(&root)?;
@@ -224,7 +224,7 @@
             // By the limits that the process started with: those of the file wait for the next start.
             let groups = running.pointer("/settings/classes").and_then(Value::as_array).map_or(1, Vec::len);
             match startup::plan(&running, groups, &read.operator.memory.shares) {
-                Ok(plan) => parts.ledger.replan(&plan),
+                Ok(plan) => parts.ledger.apply_plan(&plan),
                 Err(why) => error!("the shares of memory stay as they are: {why}"),
             }
             operator = read.operator;
@@ -240,7 +240,7 @@
     asked: Async<UnixStream>, (ledger, log): (Ledger, Rc<logger::Log>), groups: Vec<String>,
     clients: Rc<Clients>, every: Rc<Cell<Span>>,
 ) {
-    let (mut last, mut lines) = (Instant::now(), ledger.open(Purpose::Log));
+    let (mut last, mut lines) = (Instant::now(), ledger.empty_charge(Purpose::Log));
     loop {
         let asked = async {
             told(&asked).await;
--- a/crates/marshal/src/startup.rs
+++ b/crates/marshal/src/startup.rs
@@ -4,7 +4,7 @@
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
-use stonescale_budget::{Plan, Process, Shares};
+use stonescale_budget::{Plan, ProcessLimits, Shares};
 use stonescale_site::Told;
 
 /// Part of the descriptors kept free for discovery and the platform (two each where they move), the log, and
@@ -104,7 +104,12 @@
 /// missing.
 pub fn plan(root: &Value, groups: usize, shares: &Shares) -> Result<Plan, String> {
     let ((clients, _), links, memory) = limits(root)?;
-    let process = Process { memory, clients, links, groups };
+    let process = ProcessLimits {
+        memory_bytes: memory,
+        max_clients: clients,
+        max_node_connections: links,
+        path_groups: groups,
+    };
     Plan::new(process, shares).map_err(|e| format!("limits.memory_mb: {e}"))
 }
 
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -7,7 +7,7 @@
 use std::path::Path;
 use stonescale::time::Span;
 use stonescale_budget::Shares;
-use stonescale_budget::plan::{Share, Wrong};
+use stonescale_budget::plan::{PlanError, Share};
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Format {
@@ -84,7 +84,7 @@
         let mut shares = memory.shares;
         for name in Shares::names() {
             let section = format!("memory.{name}");
-            let Some(share) = shares.of(name) else { continue };
+            let Some(share) = shares.get(name) else { continue };
             let part = |x: &f64| format!("{:.0}%", x * 100.0);
             let cap = sheet.take(&section, "cap", share.cap, sheet::part, part)?;
             let reserve = sheet.take(&section, "reserve", share.reserve, sheet::part, part)?;
@@ -92,7 +92,9 @@
         }
         shares.check().map_err(|wrong| {
             let name = match &wrong {
-                Wrong::NoPart(name) | Wrong::NoCap(name) | Wrong::ReserveOverCap(name, _) => {
+                PlanError::NotAFraction(name)
+                | PlanError::ZeroCap(name)
+                | PlanError::ReserveAboveCap(name, _) => {
                     format!("memory.{name}")
                 }
                 _ => "memory".into(),
