--- a/crates/marshal/src/core.rs
+++ b/crates/marshal/src/core.rs
@@ -21,7 +21,7 @@
 use stonescale_budget::plan::NODE_RECORD_BYTES;
 use stonescale_budget::purpose::ReclaimAction;
 use stonescale_budget::{Charge, Ledger, Purpose};
-use stonescale_store::{Set, Slots, Wheel};
+use stonescale_store::{Slots, TimerHandle, TimerWheel};
 use tracing::{debug, info, trace, warn};
 
 /// How often idle connections are looked at.
@@ -45,8 +45,8 @@
     answered: bool,
     forwards: Vec<Forward>,
     /// Its timers in the module: a client may wait for minutes and be answered at once, and they must not stand on.
-    ends: Option<Set>,
-    copy: Option<Set>,
+    ends: Option<TimerHandle>,
+    copy: Option<TimerHandle>,
 }
 
 struct Forward {
@@ -55,14 +55,14 @@
     link: Option<Rc<Link>>,
     told: bool,
     /// When it has been waited for long enough.
-    limit: Option<Set>,
+    limit: Option<TimerHandle>,
 }
 
 /// What the module's calls act on.
 pub struct Doors {
     clock: Clock,
     now: Time,
-    due: Wheel<Due>,
+    due: TimerWheel<Due>,
     hits: Slots<Open>,
     taken: u64,
     ledger: Ledger,
@@ -86,7 +86,7 @@
         Doors {
             clock,
             now,
-            due: Wheel::new(now),
+            due: TimerWheel::new(now),
             hits: Slots::default(),
             taken: 0,
             ledger,
@@ -170,7 +170,7 @@
         match link {
             Ok(link) => {
                 trace!("hit {} forward {hop} to {}", open.command.id(), self.nodes.addr(node as usize));
-                let limit = Some(self.due.set(self.now + timeout, Due::Forward(hit, hop)));
+                let limit = Some(self.due.schedule(self.now + timeout, Due::Forward(hit, hop)));
                 open.forwards.push(Forward { sent: self.now, link: Some(link), told: false, limit });
             }
             Err(ending) => {
@@ -213,7 +213,7 @@
     }
 
     fn wake(&mut self, wait: Span, token: u64) {
-        let set = self.due.set(self.now + wait, Due::Token(token));
+        let set = self.due.schedule(self.now + wait, Due::Token(token));
         match Timer::from(token) {
             Timer::Ends(hit) => self.hits.get_mut(hit).map(|open| open.ends = Some(set)),
             // One that stood for an earlier forward comes due by itself, and finds that ended.
@@ -234,7 +234,7 @@
 
 impl Core {
     pub fn new(marshal: Marshal, mut doors: Doors) -> Self {
-        doors.due.set(doors.now, Due::Sweep);
+        doors.due.schedule(doors.now, Due::Sweep);
         Core { marshal, doors }
     }
 
@@ -243,7 +243,7 @@
         let inbox = self.doors.inbox.clone();
         loop {
             if inbox.is_empty() {
-                let due = self.doors.due.rest_until().map(|at| self.doors.clock.instant(at));
+                let due = self.doors.due.next_wakeup().map(|at| self.doors.clock.instant(at));
                 let due = async {
                     match due {
                         Some(at) => reactor::Timer::at(at).await,
@@ -286,7 +286,7 @@
                         self.doors.taken,
                         self.doors.nodes.open()
                     );
-                    self.doors.due.set(now + SWEEP, Due::Sweep);
+                    self.doors.due.schedule(now + SWEEP, Due::Sweep);
                 }
             }
         }
@@ -370,7 +370,7 @@
         );
         let forwards = Vec::new();
         let (bound, answered, ends, copy) = (client.clone(), false, None, None);
-        let hit = self.doors.hits.enter(Open { client, place, command, answered, forwards, ends, copy });
+        let hit = self.doors.hits.insert(Open { client, place, command, answered, forwards, ends, copy });
         bound.bind(place, hit);
         self.marshal.taken(&mut self.doors, now, hit, (group, tenant), key, patience, None);
     }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,8 +1,8 @@
-//! Structures made for the job of a marshal's core: hits by number (`slots`) and timers that can be taken back
-//! (`wheel`). What they cost against plain ones stands in docs/results-memory.md.
+//! Data structures of a marshal's core: in-flight hits by key ([`slots`]) and timers that can be cancelled
+//! ([`wheel`]). docs/results-memory.md compares their cost with that of standard collections.
 
 pub mod slots;
 pub mod wheel;
 
 pub use slots::Slots;
-pub use wheel::{Set, Wheel};
+pub use wheel::{TimerHandle, TimerWheel};
--- a/crates/store/src/slots.rs
+++ b/crates/store/src/slots.rs
@@ -1,102 +1,104 @@
-//! A slab with generations whose keys are plain numbers: the low bits of a number are its slot, the high bits its
-//! generation. Numbers are given out one after the other, and one whose slot is taken is passed over, so that finding
-//! needs neither a hash nor a search. A number comes again only after all of 32 bits.
+//! A slab with generational keys: the low bits of a key are its slot, the high bits its generation. Keys are
+//! assigned in ascending order, and a key whose slot is occupied is skipped, so that a lookup needs neither a hash
+//! nor a search. A key is reused only after all 32-bit values.
 
-/// Slots at the least.
-const LEAST: usize = 64;
-/// Of the slots at most this part is taken: on a whole turn of the numbers, at most four are looked at for each given.
-const FULL: (usize, usize) = (3, 4);
-/// Emptied, it keeps this many slots; those of a flood are given back.
-const KEPT: usize = 1_024;
+/// The smallest number of slots.
+const MIN_SLOTS: usize = 64;
+/// The largest load factor, as a fraction: over a full cycle of the slots, at most four keys are tried for each one
+/// assigned.
+const MAX_LOAD: (usize, usize) = (3, 4);
+/// An empty slab keeps at most this many slots; more of them, from a flood, are freed.
+const MAX_RETAINED_SLOTS: usize = 1_024;
 
+/// Values by generational key.
 pub struct Slots<T> {
-    /// A power of two of them, each with the number that has it.
-    rows: Vec<Option<(u32, T)>>,
-    last: u32,
-    taken: usize,
+    /// The slots, each with the key that occupies it; their number is a power of two.
+    slots: Vec<Option<(u32, T)>>,
+    last_key: u32,
+    len: usize,
 }
 
 impl<T> Default for Slots<T> {
     fn default() -> Self {
-        Slots { rows: Vec::new(), last: 0, taken: 0 }
+        Slots { slots: Vec::new(), last_key: 0, len: 0 }
     }
 }
 
 impl<T> Slots<T> {
-    fn slot(&self, number: u32) -> usize {
-        number as usize & (self.rows.len() - 1)
+    fn slot(&self, key: u32) -> usize {
+        key as usize & (self.slots.len() - 1)
     }
 
-    /// Takes in a value and returns its number. Zero is never given.
-    pub fn enter(&mut self, value: T) -> u32 {
-        if self.taken * FULL.1 >= self.rows.len() * FULL.0 {
+    /// Inserts a value and returns its key, which is never zero.
+    pub fn insert(&mut self, value: T) -> u32 {
+        if self.len * MAX_LOAD.1 >= self.slots.len() * MAX_LOAD.0 {
             self.grow();
         }
         loop {
-            self.last = self.last.wrapping_add(1);
-            let at = self.slot(self.last);
-            if self.last != 0 && self.rows[at].is_none() {
-                self.rows[at] = Some((self.last, value));
-                self.taken += 1;
-                return self.last;
+            self.last_key = self.last_key.wrapping_add(1);
+            let slot = self.slot(self.last_key);
+            if self.last_key != 0 && self.slots[slot].is_none() {
+                self.slots[slot] = Some((self.last_key, value));
+                self.len += 1;
+                return self.last_key;
             }
         }
     }
 
-    /// Twice as many slots: numbers that differ in their low bits still do with one bit more.
+    /// Doubles the number of slots: keys that differ in their low bits still differ with one bit more.
     fn grow(&mut self) {
-        let size = (self.rows.len() * 2).max(LEAST);
-        let mut rows = Vec::with_capacity(size);
-        rows.resize_with(size, || None);
-        for (number, value) in std::mem::replace(&mut self.rows, rows).into_iter().flatten() {
-            let at = self.slot(number);
-            self.rows[at] = Some((number, value));
+        let size = (self.slots.len() * 2).max(MIN_SLOTS);
+        let mut slots = Vec::with_capacity(size);
+        slots.resize_with(size, || None);
+        for (key, value) in std::mem::replace(&mut self.slots, slots).into_iter().flatten() {
+            let slot = self.slot(key);
+            self.slots[slot] = Some((key, value));
         }
     }
 
-    pub fn get(&self, number: u32) -> Option<&T> {
-        if self.rows.is_empty() {
+    pub fn get(&self, key: u32) -> Option<&T> {
+        if self.slots.is_empty() {
             return None;
         }
-        self.rows[self.slot(number)].as_ref().filter(|(has, _)| *has == number).map(|(_, value)| value)
+        self.slots[self.slot(key)].as_ref().filter(|(occupant, _)| *occupant == key).map(|(_, value)| value)
     }
 
-    pub fn get_mut(&mut self, number: u32) -> Option<&mut T> {
-        if self.rows.is_empty() {
+    pub fn get_mut(&mut self, key: u32) -> Option<&mut T> {
+        if self.slots.is_empty() {
             return None;
         }
-        let at = self.slot(number);
-        self.rows[at].as_mut().filter(|(has, _)| *has == number).map(|(_, value)| value)
+        let slot = self.slot(key);
+        self.slots[slot].as_mut().filter(|(occupant, _)| *occupant == key).map(|(_, value)| value)
     }
 
-    pub fn remove(&mut self, number: u32) -> Option<T> {
-        if self.rows.is_empty() {
+    pub fn remove(&mut self, key: u32) -> Option<T> {
+        if self.slots.is_empty() {
             return None;
         }
-        let at = self.slot(number);
-        let (_, value) = self.rows[at].take_if(|(has, _)| *has == number)?;
-        self.taken -= 1;
-        if self.taken == 0 && self.rows.len() > KEPT {
-            self.rows = Vec::new();
+        let slot = self.slot(key);
+        let (_, value) = self.slots[slot].take_if(|(occupant, _)| *occupant == key)?;
+        self.len -= 1;
+        if self.len == 0 && self.slots.len() > MAX_RETAINED_SLOTS {
+            self.slots = Vec::new();
         }
         Some(value)
     }
 
     pub fn len(&self) -> usize {
-        self.taken
+        self.len
     }
 
     pub fn is_empty(&self) -> bool {
-        self.taken == 0
+        self.len == 0
     }
 
-    /// Numbers given out so far, those passed over counted in.
-    pub fn last(&self) -> u32 {
-        self.last
+    /// The last key assigned. Until the keys wrap around it is also the number of keys used, skipped ones included.
+    pub fn last_key(&self) -> u32 {
+        self.last_key
     }
 
-    /// Bytes that it occupies.
-    pub fn occupies(&self) -> usize {
-        self.rows.capacity() * size_of::<Option<(u32, T)>>()
+    /// Bytes that it has allocated.
+    pub fn allocated_bytes(&self) -> usize {
+        self.slots.capacity() * size_of::<Option<(u32, T)>>()
     }
 }
