--- a/crates/marshal/src/core.rs
+++ b/crates/marshal/src/core.rs
@@ -18,10 +18,10 @@
 use stonescale::state::Timer;
 use stonescale::time::{Span, Time};
 use stonescale_budget::buffer::Block;
-use stonescale_budget::plan::NODE;
-use stonescale_budget::purpose::Reclaim;
+use stonescale_budget::plan::NODE_RECORD_BYTES;
+use stonescale_budget::purpose::ReclaimAction;
 use stonescale_budget::{Charge, Ledger, Purpose};
-use stonescale_store::{Set, Slots, Wheel};
+use stonescale_store::{Slots, TimerHandle, TimerWheel};
 use tracing::{debug, info, trace, warn};
 
 /// How often idle connections are looked at.
@@ -45,8 +45,8 @@
     answered: bool,
     forwards: Vec<Forward>,
     /// Its timers in the module: a client may wait for minutes and be answered at once, and they must not stand on.
-    ends: Option<Set>,
-    copy: Option<Set>,
+    ends: Option<TimerHandle>,
+    copy: Option<TimerHandle>,
 }
 
 struct Forward {
@@ -55,14 +55,14 @@
     link: Option<Rc<Link>>,
     told: bool,
     /// When it has been waited for long enough.
-    limit: Option<Set>,
+    limit: Option<TimerHandle>,
 }
 
 /// What the module's calls act on.
 pub struct Doors {
     clock: Clock,
     now: Time,
-    due: Wheel<Due>,
+    due: TimerWheel<Due>,
     hits: Slots<Open>,
     taken: u64,
     ledger: Ledger,
@@ -86,7 +86,7 @@
         Doors {
             clock,
             now,
-            due: Wheel::new(now),
+            due: TimerWheel::new(now),
             hits: Slots::default(),
             taken: 0,
             ledger,
@@ -105,12 +105,12 @@
         if let Some((number, _)) = self.ids.get(&id) {
             return Some(*number);
         }
-        let charge = self.ledger.charge(Purpose::Nodes, NODE).or_else(|_| {
+        let charge = self.ledger.charge(Purpose::Nodes, NODE_RECORD_BYTES).or_else(|_| {
             // Those that are gone make room before their time; once a list, as that looks at them all.
             if !std::mem::replace(&mut self.swept, true) {
                 self.forget(true);
             }
-            self.ledger.charge(Purpose::Nodes, NODE)
+            self.ledger.charge(Purpose::Nodes, NODE_RECORD_BYTES)
         });
         let charge = charge.ok()?;
         let next = self.ids.len() + self.free.len();
@@ -123,7 +123,7 @@
     fn forget(&mut self, short: bool) {
         let over = self.nodes.sweep(short);
         if short {
-            self.ledger.reclaimed(Purpose::Nodes, over.len() * NODE);
+            self.ledger.record_reclaimed(Purpose::Nodes, over.len() * NODE_RECORD_BYTES);
         }
         if !over.is_empty() {
             let gone: HashSet<usize> = over.iter().copied().collect();
@@ -170,7 +170,7 @@
         match link {
             Ok(link) => {
                 trace!("hit {} forward {hop} to {}", open.command.id(), self.nodes.addr(node as usize));
-                let limit = Some(self.due.set(self.now + timeout, Due::Forward(hit, hop)));
+                let limit = Some(self.due.schedule(self.now + timeout, Due::Forward(hit, hop)));
                 open.forwards.push(Forward { sent: self.now, link: Some(link), told: false, limit });
             }
             Err(ending) => {
@@ -213,7 +213,7 @@
     }
 
     fn set_timer(&mut self, wait: Span, token: u64) {
-        let set = self.due.set(self.now + wait, Due::Token(token));
+        let set = self.due.schedule(self.now + wait, Due::Token(token));
         match Timer::from(token) {
             Timer::Deadline(hit) => self.hits.get_mut(hit).map(|open| open.ends = Some(set)),
             // One that stood for an earlier forward comes due by itself, and finds that ended.
@@ -234,7 +234,7 @@
 
 impl Core {
     pub fn new(marshal: Marshal, mut doors: Doors) -> Self {
-        doors.due.set(doors.now, Due::Sweep);
+        doors.due.schedule(doors.now, Due::Sweep);
         Core { marshal, doors }
     }
 
@@ -243,7 +243,7 @@
         let inbox = self.doors.inbox.clone();
         loop {
             if inbox.is_empty() {
-                let due = self.doors.due.rest_until().map(|at| self.doors.clock.instant(at));
+                let due = self.doors.due.next_wakeup().map(|at| self.doors.clock.instant(at));
                 let due = async {
                     match due {
                         Some(at) => reactor::Timer::at(at).await,
@@ -277,7 +277,8 @@
                 Due::Token(token) => self.marshal.on_timer(&mut self.doors, now, token),
                 Due::Forward(hit, hop) => self.doors.give_up(hit, hop, Ending::WaitedOut),
                 Due::Sweep => {
-                    let short = self.doors.ledger.reclaim(Purpose::Nodes) == Reclaim::Gone;
+                    let short =
+                        self.doors.ledger.reclaim_action(Purpose::Nodes) == ReclaimAction::DropRemovedNodes;
                     self.doors.forget(short);
                     debug!(
                         "{} hits open, {} taken so far, {} node connections",
@@ -285,7 +286,7 @@
                         self.doors.taken,
                         self.doors.nodes.open()
                     );
-                    self.doors.due.set(now + SWEEP, Due::Sweep);
+                    self.doors.due.schedule(now + SWEEP, Due::Sweep);
                 }
             }
         }
@@ -371,7 +372,7 @@
         );
         let forwards = Vec::new();
         let (bound, answered, ends, copy) = (client.clone(), false, None, None);
-        let hit = self.doors.hits.enter(Open { client, place, command, answered, forwards, ends, copy });
+        let hit = self.doors.hits.insert(Open { client, place, command, answered, forwards, ends, copy });
         bound.bind(place, hit);
         self.marshal.on_hit(&mut self.doors, now, hit, (group, tenant), key, patience, None);
     }
--- a/crates/marshal/src/discovery.rs
+++ b/crates/marshal/src/discovery.rs
@@ -200,7 +200,7 @@
             ResponseParser::default(),
             LineBuffer::new(LINE.min(self.ledger.cap(Purpose::Discovery) / LINE_PART)),
         );
-        let mut charge = self.ledger.open(Purpose::Discovery);
+        let mut charge = self.ledger.empty_charge(Purpose::Discovery);
         let (mut scratch, mut body, mut line) = (vec![0; 16 * 1024], Vec::new(), Vec::new());
         loop {
             let ended = Self::bytes(&stream, &mut scratch, &mut response, &mut body).await?;
