--- a/crates/lab/src/cost.rs
+++ b/crates/lab/src/cost.rs
@@ -1,8 +1,8 @@
 //! What a hit costs a marshal: two builds side by side, in turns within one run, so that a machine whose pace drifts
 //! drifts for both.
 
-use crate::load::Plan;
-use crate::node::Manner;
+use crate::load::LoadPlan;
+use crate::node::NodeBehavior;
 use crate::site::Limits;
 use crate::world::World;
 use std::fmt::Write as _;
@@ -31,22 +31,22 @@
 
 fn round(world: &World, course: Course, side: &mut Side, seed: u64) -> Option<()> {
     let before = world.program.sample()?.cpu;
-    let load = world.load(Plan { connections: 256, ..Plan::mixed(course.rate, seed) });
+    let load = world.load(LoadPlan { max_connections: 256, ..LoadPlan::mixed(course.rate, seed) });
     std::thread::sleep(course.span);
     let tallies = load.finish();
     let cpu = world.program.sample()?.cpu - before;
     let (asked, delivered) =
-        tallies.iter().fold((0, 0), |sum, tally| (sum.0 + tally.asked, sum.1 + tally.delivered));
+        tallies.iter().fold((0, 0), |sum, tally| (sum.0 + tally.hits, sum.1 + tally.delivered));
     side.asked += asked;
     side.delivered += delivered;
     side.micros.push(cpu.as_secs_f64() * 1e6 / (delivered as f64).max(1.0));
-    side.p99_micros.push(tallies[0].latency.value_at_quantile(0.99));
+    side.p99_micros.push(tallies[0].latency_micros.value_at_quantile(0.99));
     Some(())
 }
 
 /// Runs both in turns, after a round that is not counted.
 pub fn run(one: &Path, other: &Path, course: Course) -> Result<[Side; 2], String> {
-    let manner = Manner { cores: 64, ..Manner::default() };
+    let manner = NodeBehavior { cores: 64, ..NodeBehavior::default() };
     let start = |binary: &Path| World::start(binary, NODES, Limits::default(), &manner, &[]);
     let worlds = [start(one)?, start(other)?];
     let mut sides = [Side::default(), Side::default()];
--- a/crates/lab/src/demo.rs
+++ b/crates/lab/src/demo.rs
@@ -1,9 +1,9 @@
 //! A minute's look at what a marshal does: a fleet on loopback, a good build and a bad one offered in turn.
 
-use crate::load::Plan;
-use crate::node::Manner;
+use crate::load::LoadPlan;
+use crate::node::NodeBehavior;
 use crate::plot;
-use crate::release::Course;
+use crate::release::ReleasePlan;
 use crate::rollout::Rollout;
 use crate::site::Limits;
 use crate::world::{FIRST_BUILD, World};
@@ -27,9 +27,9 @@
 /// Runs it; returns the closing table.
 pub fn run(binary: &Path, out: &Path, mut show: impl FnMut(Seen)) -> Result<String, String> {
     // As long as such services take; with answers of 2 ms each new connection would look like drag.
-    let usual = Manner { cores: 32, work: Duration::from_millis(40), ..Manner::default() };
+    let usual = NodeBehavior { cores: 32, work_median: Duration::from_millis(40), ..NodeBehavior::default() };
     let mut world = World::start(binary, NODES, Limits::default(), &usual, &[])?;
-    let load = world.load(Plan::mixed(RATE, 7));
+    let load = world.load(LoadPlan::mixed(RATE, 7));
     let stages = vec![0.1, 0.35, 1.0];
     let builds = [("good", 0.0, FIRST_BUILD + 1), ("bad", 0.35, FIRST_BUILD + 2)];
     let (mut table, mut served, mut share_new) = (String::new(), Vec::new(), Vec::new());
@@ -42,17 +42,17 @@
     let start = world.stage.clock.elapsed();
     let mut released = FIRST_BUILD;
     for (turn, (kind, fails, build)) in builds.into_iter().enumerate() {
-        let course = Course {
+        let course = ReleasePlan {
             nodes: NODES,
-            stages: stages.clone(),
-            start: Duration::from_millis(800),
-            stage: Duration::from_millis(3_500),
+            stage_shares: stages.clone(),
+            node_start: Duration::from_millis(800),
+            stage_duration: Duration::from_millis(3_500),
         };
         let begun = world.stage.clock.elapsed();
-        let manner = Manner { fails, ..usual.clone() };
+        let manner = NodeBehavior { error_rate: fails, ..usual.clone() };
         let mut rollout = Rollout::new(build, released, course, begun, manner, usual.clone());
         let mut settled = None;
-        load.count_anew();
+        load.take_stats();
         let mut sums = (0, 0, 0, 0);
         loop {
             let now = world.stage.clock.elapsed();
@@ -65,17 +65,19 @@
             }
             std::thread::sleep(TICK);
             said.extend(world.program.log.try_iter().filter(|line| line.contains(" back, ")));
-            let tallies = load.count_anew();
-            let sum = |f: fn(&crate::load::Tally) -> u64| tallies.iter().map(f).sum::<u64>();
-            let (asked, in_time) = (sum(|t| t.asked), sum(|t| t.in_time));
+            let tallies = load.take_stats();
+            let sum = |f: fn(&crate::load::GroupStats) -> u64| tallies.iter().map(f).sum::<u64>();
+            let (asked, in_time) = (sum(|t| t.hits), sum(|t| t.in_time));
             sums =
                 (sums.0 + asked, sums.1 + in_time, sums.2 + sum(|t| t.bounced), sums.3 + sum(|t| t.errored));
             let at = (now - start).as_secs_f64();
             served.push((at, in_time as f64 / (asked as f64).max(1.0) * 100.0));
-            let news = world.platform.news();
+            let news = world.platform.build_status();
             share_new.push((at, if news.phase == "testing" { news.cap * 100.0 } else { 0.0 }));
-            let vote =
-                world.platform.vote_on(build, Duration::from_secs(4)).map_or("none".into(), |v| v.verdict);
+            let vote = world
+                .platform
+                .latest_vote(build, Duration::from_secs(4))
+                .map_or("none".into(), |v| v.verdict);
             let text = format!(
                 "build {build} ({kind}): {}, stage {}, cap {:.0} %, vote {vote}, delivered {:.1} %",
                 news.phase,
@@ -111,7 +113,7 @@
         ("cap of the build on trial".to_owned(), share_new),
     ];
     plot::draw(out, "A good build, then a bad one", "per cent", &lines)?;
-    let broken = world.books.verdict();
+    let broken = world.books.violation_report();
     let rules =
         if broken.is_empty() { "The five rules were kept.".to_owned() } else { format!("Broken: {broken}") };
     for line in said {
--- a/crates/lab/src/discovery.rs
+++ b/crates/lab/src/discovery.rs
@@ -1,7 +1,7 @@
 //! Discovery: the whole list, and watches on its changes, over HTTP/1.1.
 
-use crate::checker::Books;
-use crate::stage::{Clock, Listener, Stage, Stream};
+use crate::checker::SharedChecker;
+use crate::runtime::{Clock, Listener, Runtime, Stream};
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
 use futures_lite::future::or;
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 /// An empty line comes so often where nothing changes.
-const BEAT: Duration = Duration::from_secs(2);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
 
 /// A node as it is listed.
 #[derive(Clone, Debug, PartialEq)]
@@ -33,7 +33,7 @@
         Entry { id: id.into(), addr, zone: "a".into(), state: "up".into(), build, started_ms: 0 }
     }
 
-    pub fn json(&self) -> Value {
+    pub fn to_json(&self) -> Value {
         json!({"id": self.id, "addr": self.addr, "zone": self.zone, "kind": "m", "cell": 0, "state": self.state,
             "weight": 1.0, "started_ms": self.started_ms, "image_id": self.build})
     }
@@ -56,19 +56,19 @@
     pub addr: SocketAddr,
     inner: Arc<Mutex<Inner>>,
     clock: Clock,
-    books: Books,
-    told: Sender<String>,
+    books: SharedChecker,
+    path_sender: Sender<String>,
     /// The paths asked for.
-    pub asked: Receiver<String>,
+    pub requested_paths: Receiver<String>,
 }
 
 impl Discovery {
-    pub fn start(stage: &Stage, books: Books) -> Self {
+    pub fn start(stage: &Runtime, books: SharedChecker) -> Self {
         let (listener, addr) = stage.listen();
-        let (told, asked) = async_channel::bounded(1024);
+        let (path_sender, requested_paths) = async_channel::bounded(1024);
         let inner = Arc::new(Mutex::new(Inner { version: 1, ..Inner::default() }));
-        let discovery = Discovery { addr, inner, clock: stage.clock, books, told, asked };
-        stage.spawn(discovery.clone().accept(stage.tasks(), listener));
+        let discovery = Discovery { addr, inner, clock: stage.clock, books, path_sender, requested_paths };
+        stage.spawn(discovery.clone().accept(stage.executor(), listener));
         discovery
     }
 
@@ -77,13 +77,13 @@
     }
 
     /// Lists entries, and tells the watches.
-    pub fn list(&self, entries: impl IntoIterator<Item = Entry>) {
+    pub fn publish(&self, entries: impl IntoIterator<Item = Entry>) {
         let mut inner = self.lock();
         inner.version += 1;
         let version = inner.version;
         let entries: Vec<_> = entries.into_iter().collect();
-        let servers: Vec<_> = entries.iter().map(Entry::json).collect();
-        self.note(&entries);
+        let servers: Vec<_> = entries.iter().map(Entry::to_json).collect();
+        self.inform_checker(&entries);
         for entry in entries {
             inner.entries.insert(entry.id.clone(), (version, entry));
         }
@@ -92,23 +92,23 @@
     }
 
     /// Changes entries that are listed already, by their ids.
-    pub fn change(&self, ids: &[String], change: impl Fn(&mut Entry)) {
+    pub fn update(&self, ids: &[String], change: impl Fn(&mut Entry)) {
         let known: Vec<Entry> =
             self.lock().entries.values().map(|(_, e)| e).filter(|e| ids.contains(&e.id)).cloned().collect();
-        self.list(known.into_iter().map(|mut entry| {
+        self.publish(known.into_iter().map(|mut entry| {
             change(&mut entry);
             entry
         }));
     }
 
-    fn note(&self, entries: &[Entry]) {
+    fn inform_checker(&self, entries: &[Entry]) {
         let now = self.clock.now();
         let mut books = self.books.lock();
-        entries.iter().for_each(|e| books.listed(&e.id, e.build, e.state != "up", now));
+        entries.iter().for_each(|e| books.node_reported(&e.id, e.build, e.state != "up", now));
     }
 
     /// Sends a line as it stands on all watches, or ends them where there is none.
-    pub fn say(&self, line: Option<String>) {
+    pub fn send_raw(&self, line: Option<String>) {
         let mut inner = self.lock();
         match line {
             Some(line) => inner.watches.retain(|watch| watch.try_send(line.clone()).is_ok()),
@@ -117,7 +117,7 @@
     }
 
     /// Goes down or comes up: while down, watches end and calls fail.
-    pub fn down(&self, down: bool) {
+    pub fn set_down(&self, down: bool) {
         let mut inner = self.lock();
         inner.down = down;
         if down {
@@ -126,24 +126,24 @@
     }
 
     /// Neither tells a new watch how things stand nor gives signs of life.
-    pub fn silent(&self, silent: bool) {
+    pub fn set_silent(&self, silent: bool) {
         self.lock().silent = silent;
     }
 
-    pub fn watches(&self) -> usize {
+    pub fn watch_count(&self) -> usize {
         self.lock().watches.iter().filter(|w| !w.is_closed()).count()
     }
 
     /// The whole list.
-    pub fn all(&self) -> Value {
-        self.since(None)
+    pub fn full_list(&self) -> Value {
+        self.list_since(None)
     }
 
-    fn since(&self, since: Option<u64>) -> Value {
+    fn list_since(&self, since: Option<u64>) -> Value {
         let inner = self.lock();
         let full = since.is_none_or(|since| since > inner.version);
         let fits = |(at, e): &&(u64, Entry)| if full { e.state != "removed" } else { Some(*at) > since };
-        let servers: Vec<_> = inner.entries.values().filter(fits).map(|(_, e)| e.json()).collect();
+        let servers: Vec<_> = inner.entries.values().filter(fits).map(|(_, e)| e.to_json()).collect();
         json!({"version": inner.version, "full": full, "servers": servers})
     }
 
@@ -167,19 +167,19 @@
         }
         let head = String::from_utf8_lossy(&head).into_owned();
         let path = head.split(' ').nth(1).unwrap_or_default().to_owned();
-        let _ = self.told.try_send(path.clone());
+        let _ = self.path_sender.try_send(path.clone());
         if self.lock().down {
             return stream.write_all(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n").await;
         }
         stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await?;
         let chunk = |text: &str| format!("{:x}\r\n{text}\n\r\n", text.len() + 1).into_bytes();
         if !path.contains("follow=1") {
-            stream.write_all(&chunk(&self.all().to_string())).await?;
+            stream.write_all(&chunk(&self.full_list().to_string())).await?;
             return stream.write_all(b"0\r\n\r\n").await;
         }
         let since = path.split("since=").nth(1).and_then(|v| v.split('&').next()?.parse().ok());
         let (send, lines) = async_channel::bounded(4096);
-        let first = self.since(since);
+        let first = self.list_since(since);
         self.lock().watches.push(send);
         if !self.lock().silent {
             stream.write_all(&chunk(&first.to_string())).await?;
@@ -187,7 +187,7 @@
         loop {
             let next = async { Some(lines.recv().await) };
             let beat = async {
-                Timer::after(BEAT).await;
+                Timer::after(HEARTBEAT_INTERVAL).await;
                 None
             };
             let line = match or(next, beat).await {
--- a/crates/lab/src/faults.rs
+++ b/crates/lab/src/faults.rs
@@ -7,7 +7,7 @@
 
 /// What one phase of a run brings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Trouble {
+pub enum Fault {
     Calm,
     /// Half of the nodes say nothing; all of them.
     Silent,
@@ -37,63 +37,63 @@
     BadBuild,
 }
 
-pub const ALL: [Trouble; 18] = [
-    Trouble::Calm,
-    Trouble::Silent,
-    Trouble::AllSilent,
-    Trouble::Slow,
-    Trouble::Resets,
-    Trouble::Spoilt,
-    Trouble::Deaf,
-    Trouble::LargeValues,
-    Trouble::Restarts,
-    Trouble::Flood,
-    Trouble::NeverRead,
-    Trouble::Half,
-    Trouble::Mute,
-    Trouble::Leave,
-    Trouble::Stay,
-    Trouble::Outage,
-    Trouble::GoodBuild,
-    Trouble::BadBuild,
+pub const ALL: [Fault; 18] = [
+    Fault::Calm,
+    Fault::Silent,
+    Fault::AllSilent,
+    Fault::Slow,
+    Fault::Resets,
+    Fault::Spoilt,
+    Fault::Deaf,
+    Fault::LargeValues,
+    Fault::Restarts,
+    Fault::Flood,
+    Fault::NeverRead,
+    Fault::Half,
+    Fault::Mute,
+    Fault::Leave,
+    Fault::Stay,
+    Fault::Outage,
+    Fault::GoodBuild,
+    Fault::BadBuild,
 ];
 
-impl Trouble {
+impl Fault {
     pub fn name(self) -> String {
         format!("{self:?}").to_lowercase()
     }
 
-    pub fn named(name: &str) -> Option<Self> {
+    pub fn from_name(name: &str) -> Option<Self> {
         ALL.into_iter().find(|t| t.name() == name)
     }
 }
 
 /// Phases of equal length over cycles; the same seed gives the same timetable.
 #[derive(Clone, Debug)]
-pub struct Timetable {
-    phases: Vec<Trouble>,
-    phase: Duration,
+pub struct FaultSchedule {
+    phases: Vec<Fault>,
+    phase_duration: Duration,
 }
 
-impl Timetable {
+impl FaultSchedule {
     /// So many cycles over these kinds. Each phase has a calm second half.
-    pub fn draw(kinds: &[Trouble], cycles: usize, phase: Duration, seed: u64) -> Self {
-        let mut chance = Pcg64Mcg::seed_from_u64(seed);
+    pub fn generate(kinds: &[Fault], cycles: usize, phase_duration: Duration, seed: u64) -> Self {
+        let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut cycle = kinds.to_vec();
-        cycle.shuffle(&mut chance);
+        cycle.shuffle(&mut rng);
         // The same order in each, so that one cycle can be held against the next.
         let phases = std::iter::repeat_n(cycle, cycles).flatten().collect();
-        Timetable { phases, phase }
+        FaultSchedule { phases, phase_duration }
     }
 
-    pub fn length(&self) -> Duration {
-        self.phase * self.phases.len() as u32
+    pub fn duration(&self) -> Duration {
+        self.phase_duration * self.phases.len() as u32
     }
 
     /// The phase at `at`, and whether its trouble is on; none after the end.
-    pub fn at(&self, at: Duration) -> Option<(usize, Trouble, bool)> {
-        let number = (at.as_nanos() / self.phase.as_nanos().max(1)) as usize;
-        let within = at - self.phase * number as u32;
-        self.phases.get(number).map(|trouble| (number, *trouble, within < self.phase / 2))
+    pub fn phase_at(&self, elapsed: Duration) -> Option<(usize, Fault, bool)> {
+        let number = (elapsed.as_nanos() / self.phase_duration.as_nanos().max(1)) as usize;
+        let within = elapsed - self.phase_duration * number as u32;
+        self.phases.get(number).map(|fault| (number, *fault, within < self.phase_duration / 2))
     }
 }
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,8 +1,8 @@
 //! The laboratory: what a marshal is tried with, on loopback and without any other program.
 //!
-//! - [`stage`]: the thread on which all stand-ins run, and their clock.
+//! - [`runtime`]: the thread on which all stand-ins run, and their clock.
 //! - [`node`], [`discovery`], [`platform`]: stand-ins for the other parties, after the operators' protocol page.
-//! - [`load`]: usual clients, in an open loop; [`rogue`]: those that misbehave.
+//! - [`load`]: usual clients, in an open loop; [`misbehaving`]: those that misbehave.
 //! - [`site`]: settings and configuration of a small site; [`program`]: a marshal as a process, watched from outside.
 //! - [`world`]: all of these put together, with one marshal.
 //! - [`checker`]: books of its own on every hit and forward, and which of the five rules broke.
@@ -18,20 +18,20 @@
 pub mod discovery;
 pub mod faults;
 pub mod load;
+pub mod misbehaving;
 pub mod node;
 pub mod platform;
 pub mod plot;
 pub mod program;
 pub mod release;
-pub mod rogue;
 pub mod rollout;
+pub mod runtime;
 pub mod site;
 pub mod sizes;
 pub mod soak;
-pub mod stage;
 pub mod trend;
 pub mod wire;
 pub mod world;
 
-pub use stage::Stage;
+pub use runtime::Runtime;
 pub use world::World;
--- a/crates/lab/src/node.rs
+++ b/crates/lab/src/node.rs
@@ -1,9 +1,9 @@
 //! A node: takes commands in order on each connection, works on them with its cores, answers after its manner, and
 //! has moods. It notes what it was sent and what ran.
 
-use crate::checker::Books;
-use crate::stage::{Clock, Listener, Stage, Stream};
-use crate::wire::{self, Message, Messages, field};
+use crate::checker::SharedChecker;
+use crate::runtime::{Clock, Listener, Runtime, Stream};
+use crate::wire::{self, Message, MessageReader, list_value};
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
 use futures_lite::future::or;
@@ -18,29 +18,29 @@
 
 /// What a node does with one command, in a story.
 #[derive(Clone, Debug)]
-pub enum Act {
+pub enum ScriptedReply {
     /// Says this, as it stands.
-    Say(Vec<u8>),
-    SayAndClose(Vec<u8>),
+    Send(Vec<u8>),
+    SendAndClose(Vec<u8>),
     /// Serves it, and says something more a moment later.
-    SayMore(Vec<u8>),
+    ServeThenSend(Vec<u8>),
     /// Serves it only once another command has come, on whatever connection.
-    Hold,
-    Nothing,
+    ServeAfterNextCommand,
+    NoReply,
 }
 
 /// How a node takes what comes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Mood {
+pub enum FaultMode {
     /// Works by its manner.
     #[default]
-    Well,
+    Healthy,
     /// Takes commands and says nothing.
     Silent,
     /// Works, and keeps the last byte of each answer until it is in another mood.
-    Halting,
+    WithholdingLastByte,
     /// Takes connections and never reads.
-    Deaf,
+    NotReading,
     /// Resets every connection once a command came.
     Resetting,
     /// Resets every connection as it comes.
@@ -49,46 +49,46 @@
 
 /// How a node works while it is well.
 #[derive(Clone, Debug)]
-pub struct Manner {
+pub struct NodeBehavior {
     /// Commands worked on at once.
     pub cores: usize,
     /// Work of a command: its median, and the sigma of its logarithm.
-    pub work: Duration,
-    pub spread: f64,
+    pub work_median: Duration,
+    pub work_sigma: f64,
     /// Bytes of a value.
-    pub value: usize,
+    pub value_bytes: usize,
     /// Shares of the commands that fail, that are answered with what can't be read, and that are answered wrongly
     /// (with a value that was made for another).
-    pub fails: f64,
-    pub spoils: f64,
-    pub lies: f64,
+    pub error_rate: f64,
+    pub malformed_rate: f64,
+    pub wrong_value_rate: f64,
     /// More work for everything.
-    pub drag: f64,
+    pub work_factor: f64,
     /// Only this path group fails or drags, if one is named.
-    pub only: Option<String>,
+    pub affected_group: Option<String>,
     /// For so long a mark is remembered.
-    pub memory: Duration,
+    pub dedup_memory: Duration,
 }
 
-impl Default for Manner {
+impl Default for NodeBehavior {
     fn default() -> Self {
-        Manner {
+        NodeBehavior {
             cores: 4,
-            work: Duration::from_millis(2),
-            spread: 0.3,
-            value: 7,
-            fails: 0.0,
-            spoils: 0.0,
-            lies: 0.0,
-            drag: 1.0,
-            only: None,
-            memory: Duration::from_millis(1_000),
+            work_median: Duration::from_millis(2),
+            work_sigma: 0.3,
+            value_bytes: 7,
+            error_rate: 0.0,
+            malformed_rate: 0.0,
+            wrong_value_rate: 0.0,
+            work_factor: 1.0,
+            affected_group: None,
+            dedup_memory: Duration::from_millis(1_000),
         }
     }
 }
 
 /// An answer that is still to go out.
-struct Owed {
+struct PendingReply {
     at: Instant,
     text: Vec<u8>,
     /// The connection ends behind it.
@@ -97,23 +97,23 @@
     after: u64,
 }
 
-impl Owed {
+impl PendingReply {
     fn at(at: Instant, text: Vec<u8>) -> Self {
-        Owed { at, text, close: false, after: 0 }
+        PendingReply { at, text, close: false, after: 0 }
     }
 }
 
 struct Inner {
-    mood: Mood,
-    manner: Manner,
-    script: VecDeque<Act>,
-    chance: Pcg64Mcg,
+    fault_mode: FaultMode,
+    behavior: NodeBehavior,
+    script: VecDeque<ScriptedReply>,
+    rng: Pcg64Mcg,
     /// When each core is free.
-    cores: Vec<Instant>,
+    core_free_at: Vec<Instant>,
     taken: u64,
     connections: usize,
     /// Rises when the process dies: connections of an earlier one end.
-    life: u64,
+    incarnation: u64,
 }
 
 /// A handle to a node; clones are the same.
@@ -123,45 +123,57 @@
     pub addr: SocketAddr,
     inner: Arc<Mutex<Inner>>,
     clock: Clock,
-    books: Books,
-    told: Sender<Vec<String>>,
+    books: SharedChecker,
+    received_sender: Sender<Vec<String>>,
     /// What it was sent: the words of each command, and an empty row for each connection that ended.
-    pub heard: Receiver<Vec<String>>,
-    changed: Sender<()>,
-    change: Receiver<()>,
+    pub received: Receiver<Vec<String>>,
+    restart_notifier: Sender<()>,
+    restarted: Receiver<()>,
     /// Closed, it takes no more connections.
     end: Sender<()>,
 }
 
 /// The load report of an answer, by the protocol page.
-const REPORT: &str = "inflight=7,queue=2,util=0.61";
+const LOAD_REPORT: &str = "inflight=7,queue=2,util=0.61";
 /// An answer that will not come, nor any behind it on its connection: answers keep their commands' order.
-const NEVER: Duration = Duration::from_secs(86_400);
+const NEVER_SENT_DELAY: Duration = Duration::from_secs(86_400);
 /// Commands noted for a story; what goes past it is forgotten.
-const HEARD: usize = 4096;
+const MAX_QUEUED_EVENTS: usize = 4096;
 
 impl Node {
-    pub fn start(stage: &Stage, name: &str, seed: u64, manner: Manner, books: Books) -> Self {
+    pub fn start(
+        stage: &Runtime, name: &str, seed: u64, behavior: NodeBehavior, books: SharedChecker,
+    ) -> Self {
         let (listener, addr) = stage.listen();
-        let (told, heard) = async_channel::bounded(HEARD);
-        let (changed, change) = async_channel::bounded(1);
+        let (received_sender, received) = async_channel::bounded(MAX_QUEUED_EVENTS);
+        let (restart_notifier, restarted) = async_channel::bounded(1);
         let (end, ended) = async_channel::bounded(1);
-        let cores = vec![Instant::now(); manner.cores.max(1)];
+        let cores = vec![Instant::now(); behavior.cores.max(1)];
         let inner = Inner {
-            mood: Mood::default(),
-            manner,
+            fault_mode: FaultMode::default(),
+            behavior,
             script: VecDeque::new(),
-            chance: Pcg64Mcg::seed_from_u64(seed),
-            cores,
+            rng: Pcg64Mcg::seed_from_u64(seed),
+            core_free_at: cores,
             taken: 0,
             connections: 0,
-            life: 0,
+            incarnation: 0,
         };
         let inner = Arc::new(Mutex::new(inner));
         let clock = stage.clock;
-        let node =
-            Node { name: name.to_owned(), addr, inner, clock, books, told, heard, changed, change, end };
-        let accept = node.clone().accept(stage.tasks(), listener);
+        let node = Node {
+            name: name.to_owned(),
+            addr,
+            inner,
+            clock,
+            books,
+            received_sender,
+            received,
+            restart_notifier,
+            restarted,
+            end,
+        };
+        let accept = node.clone().accept(stage.executor(), listener);
         stage.spawn(or(accept, async move {
             let _ = ended.recv().await;
         }));
@@ -172,29 +184,29 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub fn mood(&self, mood: Mood) {
-        self.lock().mood = mood;
+    pub fn set_fault_mode(&self, fault_mode: FaultMode) {
+        self.lock().fault_mode = fault_mode;
     }
 
-    pub fn manner(&self, change: impl FnOnce(&mut Manner)) {
+    pub fn update_behavior(&self, change: impl FnOnce(&mut NodeBehavior)) {
         let mut inner = self.lock();
-        change(&mut inner.manner);
+        change(&mut inner.behavior);
         // What waited for a core is not waited for any more.
-        inner.cores = vec![Instant::now(); inner.manner.cores.max(1)];
+        inner.core_free_at = vec![Instant::now(); inner.behavior.cores.max(1)];
     }
 
     /// What it does with its next commands, before its manner counts again.
-    pub fn script(&self, acts: impl IntoIterator<Item = Act>) {
-        self.lock().script.extend(acts);
+    pub fn script(&self, replies: impl IntoIterator<Item = ScriptedReply>) {
+        self.lock().script.extend(replies);
     }
 
     /// Its process dies and comes back: all connections end.
     pub fn restart(&self) {
         let mut inner = self.lock();
-        inner.life += 1;
-        inner.cores.fill(Instant::now());
+        inner.incarnation += 1;
+        inner.core_free_at.fill(Instant::now());
         drop(inner);
-        let _ = self.changed.try_send(());
+        let _ = self.restart_notifier.try_send(());
     }
 
     /// Its process ends for good.
@@ -208,7 +220,7 @@
     }
 
     /// Commands that came whole.
-    pub fn taken(&self) -> u64 {
+    pub fn commands_received(&self) -> u64 {
         self.lock().taken
     }
 
@@ -216,7 +228,7 @@
         loop {
             let Ok((stream, _)) = listener.accept().await else { continue };
             let _ = stream.get_ref().set_nodelay(true);
-            if self.lock().mood == Mood::Refusing {
+            if self.lock().fault_mode == FaultMode::Refusing {
                 reset(stream);
                 continue;
             }
@@ -224,25 +236,25 @@
             let node = self.clone();
             let task = async move {
                 let stream = Arc::new(stream);
-                let life = node.lock().life;
-                or(node.serve(&stream), node.dies(life)).await;
+                let incarnation = node.lock().incarnation;
+                or(node.serve(&stream), node.until_restart(incarnation)).await;
                 node.lock().connections -= 1;
                 let _ = stream.get_ref().shutdown(Shutdown::Both);
-                let _ = node.told.try_send(Vec::new());
+                let _ = node.received_sender.try_send(Vec::new());
             };
             tasks.spawn(task).detach();
         }
     }
 
-    async fn dies(&self, life: u64) {
+    async fn until_restart(&self, incarnation: u64) {
         loop {
-            if self.lock().life != life {
+            if self.lock().incarnation != incarnation {
                 return;
             }
             // One waiter takes the call: others look again soon.
             or(
                 async {
-                    let _ = self.change.recv().await;
+                    let _ = self.restarted.recv().await;
                 },
                 async {
                     let _ = Timer::after(Duration::from_millis(20)).await;
@@ -254,30 +266,31 @@
 
     /// One connection: commands are begun as they come, and answered in their order.
     async fn serve(&self, stream: &Arc<Stream>) {
-        let mut messages = Messages::default();
-        let mut owed: VecDeque<Owed> = VecDeque::new();
-        let mut mute = false;
+        let mut messages = MessageReader::default();
+        let mut pending_replies: VecDeque<PendingReply> = VecDeque::new();
+        let mut skipped_reply = false;
         loop {
-            let mut deaf = false;
-            while self.lock().mood == Mood::Deaf {
-                deaf = true;
+            let mut paused_reading = false;
+            while self.lock().fault_mode == FaultMode::NotReading {
+                paused_reading = true;
                 Timer::after(Duration::from_millis(10)).await;
             }
-            if deaf {
+            if paused_reading {
                 // When what is unread was sent can't be told any more: for the books it never came.
                 return;
             }
             // A command was passed over on it: answers behind that would be taken for its own.
-            if mute && self.lock().mood != Mood::Silent {
+            if skipped_reply && self.lock().fault_mode != FaultMode::Silent {
                 return;
             }
-            let due = owed.front().map(|owed| (owed.at, owed.after));
+            let due =
+                pending_replies.front().map(|pending_replies| (pending_replies.at, pending_replies.after));
             let next = async { Some(messages.next(&mut &**stream).await) };
             let answer = async {
                 match due {
                     Some((at, after)) => {
                         Timer::at(at).await;
-                        while self.taken() < after {
+                        while self.commands_received() < after {
                             Timer::after(Duration::from_millis(1)).await;
                         }
                     }
@@ -287,14 +300,17 @@
             };
             match or(answer, next).await {
                 None => {
-                    let Some(Owed { text, close, .. }) = owed.pop_front() else { continue };
-                    let halts = usize::from(self.lock().mood == Mood::Halting).min(text.len());
-                    let (now, later) = text.split_at(text.len() - halts);
-                    let wrote = wire::write(&mut &**stream, now).await;
-                    while halts > 0 && self.lock().mood == Mood::Halting {
+                    let Some(PendingReply { text, close, .. }) = pending_replies.pop_front() else {
+                        continue;
+                    };
+                    let withheld =
+                        usize::from(self.lock().fault_mode == FaultMode::WithholdingLastByte).min(text.len());
+                    let (head, tail) = text.split_at(text.len() - withheld);
+                    let wrote = wire::write(&mut &**stream, head).await;
+                    while withheld > 0 && self.lock().fault_mode == FaultMode::WithholdingLastByte {
                         Timer::after(Duration::from_millis(5)).await;
                     }
-                    let wrote = wrote.and(wire::write(&mut &**stream, later).await);
+                    let wrote = wrote.and(wire::write(&mut &**stream, tail).await);
                     if wrote.is_err() || close {
                         return;
                     }
@@ -302,9 +318,9 @@
                 Some(Ok(Some(Message::Array(words)))) => {
                     let words: Vec<_> =
                         words.iter().map(|w| String::from_utf8_lossy(w).into_owned()).collect();
-                    mute |= self.lock().mood == Mood::Silent;
-                    if !self.takes(words, &mut owed).await {
-                        reset_both(stream);
+                    skipped_reply |= self.lock().fault_mode == FaultMode::Silent;
+                    if !self.receive_command(words, &mut pending_replies).await {
+                        reset_on_close(stream);
                         return;
                     }
                 }
@@ -318,102 +334,115 @@
     }
 
     /// Takes one command; false where the connection is to be reset.
-    async fn takes(&self, words: Vec<String>, owed: &mut VecDeque<Owed>) -> bool {
+    async fn receive_command(
+        &self, words: Vec<String>, pending_replies: &mut VecDeque<PendingReply>,
+    ) -> bool {
         let now = Instant::now();
         let id = words.get(2).cloned().unwrap_or_default();
-        let list = words.get(3).cloned().unwrap_or_default();
-        let mark = field(&list, "k").map(str::to_owned);
-        let (act, mood, taken) = {
+        let fields = words.get(3).cloned().unwrap_or_default();
+        let idempotency_key = list_value(&fields, "k").map(str::to_owned);
+        let (scripted, fault_mode, taken) = {
             let mut inner = self.lock();
             inner.taken += 1;
-            (inner.script.pop_front(), inner.mood, inner.taken)
+            (inner.script.pop_front(), inner.fault_mode, inner.taken)
         };
-        self.books.lock().forwarded(&self.name, &id, self.clock.now());
-        let _ = self.told.try_send(words);
-        match (act, mood) {
-            (_, Mood::Resetting) => {
-                self.ran(&id, mark.as_deref());
+        self.books.lock().forward_received(&self.name, &id, self.clock.now());
+        let _ = self.received_sender.try_send(words);
+        match (scripted, fault_mode) {
+            (_, FaultMode::Resetting) => {
+                self.record_execution(&id, idempotency_key.as_deref());
                 return false;
             }
-            (Some(Act::Nothing), _) => owed.push_back(Owed::at(now + NEVER, Vec::new())),
-            (None, Mood::Silent | Mood::Deaf | Mood::Refusing) => {}
-            (Some(Act::Say(text)), _) => {
+            (Some(ScriptedReply::NoReply), _) => {
+                pending_replies.push_back(PendingReply::at(now + NEVER_SENT_DELAY, Vec::new()))
+            }
+            (None, FaultMode::Silent | FaultMode::NotReading | FaultMode::Refusing) => {}
+            (Some(ScriptedReply::Send(text)), _) => {
                 if text.starts_with(b"-BUSY") {
-                    self.books.lock().refused(&id);
+                    self.books.lock().forward_rejected(&id);
                 }
-                owed.push_back(Owed::at(now, text));
+                pending_replies.push_back(PendingReply::at(now, text));
+            }
+            (Some(ScriptedReply::SendAndClose(text)), _) => {
+                pending_replies.push_back(PendingReply { close: true, ..PendingReply::at(now, text) })
             }
-            (Some(Act::SayAndClose(text)), _) => owed.push_back(Owed { close: true, ..Owed::at(now, text) }),
-            (Some(Act::SayMore(text)), _) => {
-                self.ran(&id, mark.as_deref());
-                owed.push_back(Owed::at(now, value(&id, 7)));
-                owed.push_back(Owed::at(now + Duration::from_millis(1), text));
+            (Some(ScriptedReply::ServeThenSend(text)), _) => {
+                self.record_execution(&id, idempotency_key.as_deref());
+                pending_replies.push_back(PendingReply::at(now, value_reply(&id, 7)));
+                pending_replies.push_back(PendingReply::at(now + Duration::from_millis(1), text));
             }
-            (Some(Act::Hold), _) => {
-                self.ran(&id, mark.as_deref());
-                owed.push_back(Owed { after: taken + 1, ..Owed::at(now, value(&id, 7)) });
+            (Some(ScriptedReply::ServeAfterNextCommand), _) => {
+                self.record_execution(&id, idempotency_key.as_deref());
+                pending_replies.push_back(PendingReply {
+                    after: taken + 1,
+                    ..PendingReply::at(now, value_reply(&id, 7))
+                });
             }
-            (None, Mood::Well | Mood::Halting) => {
-                let (ready, text) = self.works(&id, &list);
-                self.ran(&id, mark.as_deref());
+            (None, FaultMode::Healthy | FaultMode::WithholdingLastByte) => {
+                let (ready_at, text) = self.draw_reply(&id, &fields);
+                self.record_execution(&id, idempotency_key.as_deref());
                 // Answers go out in the commands' order.
-                let ready = owed.back().map_or(ready, |last| ready.max(last.at));
-                owed.push_back(Owed::at(ready, text));
+                let ready_at = pending_replies.back().map_or(ready_at, |last| ready_at.max(last.at));
+                pending_replies.push_back(PendingReply::at(ready_at, text));
             }
         }
         true
     }
 
     /// Draws what becomes of a command, and when.
-    fn works(&self, id: &str, list: &str) -> (Instant, Vec<u8>) {
+    fn draw_reply(&self, id: &str, fields: &str) -> (Instant, Vec<u8>) {
         let mut inner = self.lock();
-        let Inner { manner, chance, cores, .. } = &mut *inner;
-        let concerns = manner.only.as_deref().is_none_or(|only| field(list, "c") == Some(only));
-        let part = |share: f64| if concerns { share } else { 0.0 };
-        let drawn = LogNormal::new(0.0, manner.spread.max(0.0)).map_or(1.0, |d| d.sample(chance));
-        let work = manner.work.mul_f64(drawn * if concerns { manner.drag } else { 1.0 });
+        let Inner { behavior, rng, core_free_at, .. } = &mut *inner;
+        let affected =
+            behavior.affected_group.as_deref().is_none_or(|only| list_value(fields, "c") == Some(only));
+        let rate_here = |share: f64| if affected { share } else { 0.0 };
+        let work_noise = LogNormal::new(0.0, behavior.work_sigma.max(0.0)).map_or(1.0, |d| d.sample(rng));
+        let work =
+            behavior.work_median.mul_f64(work_noise * if affected { behavior.work_factor } else { 1.0 });
         let now = Instant::now();
-        let free = cores.iter_mut().min().expect("a node has cores");
-        let ready = (*free).max(now) + work;
-        *free = ready;
-        let luck: f64 = chance.random_range(0.0..1.0);
-        let text = if luck < part(manner.fails) {
-            format!("-ERR failed {REPORT}\r\n").into_bytes()
-        } else if luck < part(manner.fails) + manner.spoils {
-            spoilt(chance)
-        } else if luck < part(manner.fails) + manner.spoils + part(manner.lies) {
-            value("another", manner.value)
+        let free_at = core_free_at.iter_mut().min().expect("a node has cores");
+        let ready_at = (*free_at).max(now) + work;
+        *free_at = ready_at;
+        let outcome_draw: f64 = rng.random_range(0.0..1.0);
+        let text = if outcome_draw < rate_here(behavior.error_rate) {
+            format!("-ERR failed {LOAD_REPORT}\r\n").into_bytes()
+        } else if outcome_draw < rate_here(behavior.error_rate) + behavior.malformed_rate {
+            malformed_reply(rng)
+        } else if outcome_draw
+            < rate_here(behavior.error_rate) + behavior.malformed_rate + rate_here(behavior.wrong_value_rate)
+        {
+            value_reply("another", behavior.value_bytes)
         } else {
-            value(id, manner.value)
+            value_reply(id, behavior.value_bytes)
         };
-        (ready, text)
+        (ready_at, text)
     }
 
     /// Notes that a command's work was done, unless it is known as a repeat.
-    fn ran(&self, id: &str, mark: Option<&str>) {
+    fn record_execution(&self, id: &str, idempotency_key: Option<&str>) {
         let now = self.clock.now();
-        let memory = Span::nanos(self.lock().manner.memory.as_nanos() as u64);
+        let memory = Span::nanos(self.lock().behavior.dedup_memory.as_nanos() as u64);
         let mut books = self.books.lock();
         // All nodes together drop repeats.
-        if !mark.is_some_and(|mark| books.repeats(mark, memory, now)) {
-            books.ran(&self.name, id, now);
+        if !idempotency_key.is_some_and(|idempotency_key| books.is_repeat(idempotency_key, memory, now)) {
+            books.command_executed(&self.name, id, now);
         }
     }
 }
 
 /// A value made for one hit: its own id stands in it, so that a client can tell.
-fn value(id: &str, size: usize) -> Vec<u8> {
+fn value_reply(id: &str, size: usize) -> Vec<u8> {
     let mut text = id.as_bytes().to_vec();
     text.resize(size.max(text.len()), b'.');
     let mut out = b"*3\r\n".to_vec();
     stonescale_formats::resp::write_bulk(&mut out, &text);
     out.extend_from_slice(b"$-1\r\n");
-    stonescale_formats::resp::write_bulk(&mut out, REPORT.as_bytes());
+    stonescale_formats::resp::write_bulk(&mut out, LOAD_REPORT.as_bytes());
     out
 }
 
 /// One of the ways in which an answer can be spoilt.
-fn spoilt(chance: &mut Pcg64Mcg) -> Vec<u8> {
+fn malformed_reply(rng: &mut Pcg64Mcg) -> Vec<u8> {
     let kinds: [&[u8]; 5] = [
         b"\x00\x17noise\xff\xff\r\n",
         b"*3\r\n$70000000\r\nva",
@@ -421,21 +450,21 @@
         b"-ERR a line that does not end",
         b"*x\r\n",
     ];
-    kinds[chance.random_range(0..kinds.len())].to_vec()
+    kinds[rng.random_range(0..kinds.len())].to_vec()
 }
 
 /// Ends a connection with a reset.
 fn reset(stream: Stream) {
     // Unread bytes would do it as well; a linger of nothing does it always.
-    let _ = socket_linger(&stream);
+    let _ = set_zero_linger(&stream);
     drop(stream);
 }
 
-fn reset_both(stream: &Arc<Stream>) {
-    let _ = socket_linger(stream);
+fn reset_on_close(stream: &Arc<Stream>) {
+    let _ = set_zero_linger(stream);
 }
 
 /// Closing resets from now on: with nothing lingering, what is unsent is dropped.
-fn socket_linger(stream: &Stream) -> std::io::Result<()> {
+fn set_zero_linger(stream: &Stream) -> std::io::Result<()> {
     rustix::net::sockopt::set_socket_linger(stream.get_ref(), Some(Duration::ZERO)).map_err(Into::into)
 }
--- a/crates/lab/src/platform.rs
+++ b/crates/lab/src/platform.rs
@@ -1,7 +1,7 @@
 //! The platform: tells where the newest build stands, takes votes.
 
-use crate::checker::Books;
-use crate::stage::{Clock, Listener, Stage, Stream};
+use crate::checker::SharedChecker;
+use crate::runtime::{Clock, Listener, Runtime, Stream};
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
 use futures_lite::future::or;
@@ -12,13 +12,13 @@
 use std::time::{Duration, Instant};
 
 /// A sign of life comes so often.
-const BEAT: Duration = Duration::from_secs(1);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 /// A line of so many bytes ends the connection.
-const LINE: usize = 8 * 1024;
+const MAX_LINE_BYTES: usize = 8 * 1024;
 
 /// Where the newest build stands.
 #[derive(Clone, Debug, PartialEq)]
-pub struct News {
+pub struct BuildStatus {
     pub build: u16,
     pub stage: u8,
     /// `testing`, `recalling`, `live` or `recalled`.
@@ -26,16 +26,16 @@
     pub cap: f64,
 }
 
-impl News {
+impl BuildStatus {
     pub fn live(build: u16) -> Self {
-        News { build, stage: 2, phase: "live", cap: 1.0 }
+        BuildStatus { build, stage: 2, phase: "live", cap: 1.0 }
     }
 
     pub fn testing(build: u16, stage: u8, cap: f64) -> Self {
-        News { build, stage, phase: "testing", cap }
+        BuildStatus { build, stage, phase: "testing", cap }
     }
 
-    pub fn json(&self, age_ms: u128) -> Value {
+    pub fn to_json(&self, age_ms: u128) -> Value {
         json!({"build": self.build, "stage": self.stage, "phase": self.phase, "cap": self.cap, "age_ms": age_ms as u64})
     }
 }
@@ -49,14 +49,14 @@
 }
 
 struct Inner {
-    news: News,
+    status: BuildStatus,
     since: Instant,
-    watches: Vec<Sender<String>>,
+    subscribers: Vec<Sender<String>>,
     votes: Vec<(Instant, Vote)>,
     /// Calls stand unanswered, and no sign of life comes.
     silent: bool,
     /// Rises when all connections are to end.
-    cut: u64,
+    close_count: u64,
 }
 
 /// A handle to the platform; clones are the same.
@@ -65,22 +65,23 @@
     pub addr: SocketAddr,
     inner: Arc<Mutex<Inner>>,
     clock: Clock,
-    books: Books,
-    told: Sender<String>,
+    books: SharedChecker,
+    line_sender: Sender<String>,
     /// The lines that came.
-    pub heard: Receiver<String>,
+    pub received: Receiver<String>,
 }
 
 impl Platform {
-    pub fn start(stage: &Stage, news: News, books: Books) -> Self {
+    pub fn start(stage: &Runtime, status: BuildStatus, books: SharedChecker) -> Self {
         let (listener, addr) = stage.listen();
-        let (told, heard) = async_channel::bounded(4096);
-        let (watches, votes) = (Vec::new(), Vec::new());
-        let inner = Inner { news, since: Instant::now(), watches, votes, silent: false, cut: 0 };
+        let (line_sender, received) = async_channel::bounded(4096);
+        let (subscribers, votes) = (Vec::new(), Vec::new());
+        let inner =
+            Inner { status, since: Instant::now(), subscribers, votes, silent: false, close_count: 0 };
         let inner = Arc::new(Mutex::new(inner));
-        let platform = Platform { addr, inner, clock: stage.clock, books, told, heard };
-        platform.note();
-        stage.spawn(platform.clone().accept(stage.tasks(), listener));
+        let platform = Platform { addr, inner, clock: stage.clock, books, line_sender, received };
+        platform.inform_checker();
+        stage.spawn(platform.clone().accept(stage.executor(), listener));
         platform
     }
 
@@ -88,43 +89,48 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn note(&self) {
-        let News { build, phase, cap, .. } = self.lock().news;
-        self.books.lock().staged(build, phase == "testing" || phase == "recalling", cap, self.clock.now());
+    fn inform_checker(&self) {
+        let BuildStatus { build, phase, cap, .. } = self.lock().status;
+        self.books.lock().build_reported(
+            build,
+            phase == "testing" || phase == "recalling",
+            cap,
+            self.clock.now(),
+        );
     }
 
-    pub fn news(&self) -> News {
-        self.lock().news.clone()
+    pub fn build_status(&self) -> BuildStatus {
+        self.lock().status.clone()
     }
 
     /// The newest build stands elsewhere from now on.
-    pub fn tell(&self, news: News) {
+    pub fn announce(&self, status: BuildStatus) {
         {
             let mut inner = self.lock();
-            (inner.news, inner.since) = (news, Instant::now());
+            (inner.status, inner.since) = (status, Instant::now());
         }
-        self.note();
+        self.inform_checker();
         let mut inner = self.lock();
-        let line = notice("progress", inner.news.json(0));
-        inner.watches.retain(|watch| watch.try_send(line.clone()).is_ok());
+        let line = notification("progress", inner.status.to_json(0));
+        inner.subscribers.retain(|subscriber| subscriber.try_send(line.clone()).is_ok());
     }
 
     /// Sends a line as it stands to all that subscribed.
-    pub fn say(&self, line: &str) {
-        self.lock().watches.retain(|watch| watch.try_send(line.to_owned()).is_ok());
+    pub fn send_raw(&self, line: &str) {
+        self.lock().subscribers.retain(|subscriber| subscriber.try_send(line.to_owned()).is_ok());
     }
 
-    pub fn silent(&self, silent: bool) {
+    pub fn set_silent(&self, silent: bool) {
         self.lock().silent = silent;
     }
 
     /// Ends all connections.
-    pub fn cut(&self) {
-        self.lock().cut += 1;
+    pub fn close_connections(&self) {
+        self.lock().close_count += 1;
     }
 
     /// The latest vote on a build that was cast since `life` ago, if any.
-    pub fn vote_on(&self, build: u16, life: Duration) -> Option<Vote> {
+    pub fn latest_vote(&self, build: u16, life: Duration) -> Option<Vote> {
         let inner = self.lock();
         let fits = |(at, vote): &&(Instant, Vote)| vote.build == u64::from(build) && at.elapsed() < life;
         inner.votes.iter().rev().find(fits).map(|(_, vote)| vote.clone())
@@ -135,28 +141,28 @@
             let Ok((stream, _)) = listener.accept().await else { continue };
             let platform = self.clone();
             let task = async move {
-                let cut = platform.lock().cut;
-                or(async { drop(platform.serve(&stream).await) }, platform.ends(cut)).await;
+                let close_count = platform.lock().close_count;
+                or(async { drop(platform.serve(&stream).await) }, platform.until_closed(close_count)).await;
                 let _ = stream.get_ref().shutdown(std::net::Shutdown::Both);
             };
             tasks.spawn(task).detach();
         }
     }
 
-    async fn ends(&self, cut: u64) {
-        while self.lock().cut == cut {
+    async fn until_closed(&self, close_count: u64) {
+        while self.lock().close_count == close_count {
             Timer::after(Duration::from_millis(10)).await;
         }
     }
 
     async fn serve(&self, stream: &Stream) -> std::io::Result<()> {
-        let (mut held, mut scratch) = (Vec::new(), [0; 4096]);
-        let (send, lines) = async_channel::bounded(1024);
-        let mut beat = Instant::now() + BEAT;
+        let (mut buffer, mut scratch) = (Vec::new(), [0; 4096]);
+        let (line_queue, lines) = async_channel::bounded(1024);
+        let mut next_heartbeat = Instant::now() + HEARTBEAT_INTERVAL;
         enum Next {
             Read(std::io::Result<usize>),
             Line(String),
-            Beat,
+            Heartbeat,
         }
         loop {
             let read = async { Next::Read((&mut &*stream).read(&mut scratch).await) };
@@ -167,30 +173,30 @@
                 }
             };
             let due = async {
-                Timer::at(beat).await;
-                Next::Beat
+                Timer::at(next_heartbeat).await;
+                Next::Heartbeat
             };
             let silent = self.lock().silent;
             match or(line, or(read, due)).await {
                 Next::Line(line) => (&mut &*stream).write_all(format!("{line}\n").as_bytes()).await?,
-                Next::Beat => {
-                    beat = Instant::now() + BEAT;
-                    if !silent && self.lock().watches.iter().any(|w| w.same_channel(&send)) {
+                Next::Heartbeat => {
+                    next_heartbeat = Instant::now() + HEARTBEAT_INTERVAL;
+                    if !silent && self.lock().subscribers.iter().any(|w| w.same_channel(&line_queue)) {
                         (&mut &*stream)
-                            .write_all(format!("{}\n", notice("ping", json!({}))).as_bytes())
+                            .write_all(format!("{}\n", notification("ping", json!({}))).as_bytes())
                             .await?;
                     }
                 }
                 Next::Read(read) => {
-                    let n = read?;
-                    held.extend_from_slice(&scratch[..n]);
-                    while let Some(end) = held.iter().position(|b| *b == b'\n') {
-                        let line: Vec<u8> = held.drain(..=end).collect();
-                        if let Some(answer) = self.answer(&line, &send).filter(|_| !silent) {
+                    let count = read?;
+                    buffer.extend_from_slice(&scratch[..count]);
+                    while let Some(end) = buffer.iter().position(|b| *b == b'\n') {
+                        let line: Vec<u8> = buffer.drain(..=end).collect();
+                        if let Some(answer) = self.answer(&line, &line_queue).filter(|_| !silent) {
                             (&mut &*stream).write_all(format!("{answer}\n").as_bytes()).await?;
                         }
                     }
-                    if n == 0 || held.len() >= LINE {
+                    if count == 0 || buffer.len() >= MAX_LINE_BYTES {
                         return Ok(());
                     }
                 }
@@ -199,22 +205,22 @@
     }
 
     /// The answer to a call.
-    fn answer(&self, line: &[u8], watch: &Sender<String>) -> Option<Value> {
-        let _ = self.told.try_send(String::from_utf8_lossy(line).trim_end().to_owned());
+    fn answer(&self, line: &[u8], subscriber: &Sender<String>) -> Option<Value> {
+        let _ = self.line_sender.try_send(String::from_utf8_lossy(line).trim_end().to_owned());
         let call: Value = serde_json::from_slice(line).ok()?;
         let id = call.get("id")?.clone();
         let mut inner = self.lock();
         let age = inner.since.elapsed().as_millis();
-        let state = inner.news.json(age);
+        let state = inner.status.to_json(age);
         let result = match call["method"].as_str() {
             Some("subscribe") => {
-                let _ = watch.try_send(notice("progress", state));
-                inner.watches.push(watch.clone());
+                let _ = subscriber.try_send(notification("progress", state));
+                inner.subscribers.push(subscriber.clone());
                 json!(true)
             }
             Some("release.vote") => {
                 let params = &call["params"];
-                if params["build"] != inner.news.build {
+                if params["build"] != inner.status.build {
                     return Some(json!({"jsonrpc": "2.0", "id": id,
                         "error": {"code": -32000, "message": "ConditionFailed"}}));
                 }
@@ -237,6 +243,6 @@
     }
 }
 
-fn notice(method: &str, params: Value) -> String {
+fn notification(method: &str, params: Value) -> String {
     json!({"jsonrpc": "2.0", "method": method, "params": params}).to_string()
 }
--- a/crates/lab/src/release.rs
+++ b/crates/lab/src/release.rs
@@ -5,17 +5,17 @@
 
 /// What is to be done next.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Step {
+pub enum Action {
     /// Tell where the build stands: its stage, phase and cap.
-    Tell(u8, &'static str, f64),
+    Announce(u8, &'static str, f64),
     /// Start so many nodes of the new build.
-    Start(usize),
+    StartNodes(usize),
     /// Drain so many nodes of the earlier build.
-    Drain(usize),
+    DrainNodes(usize),
     /// Drain all nodes of the new build, and start so many of the earlier one.
-    Return(usize),
+    RollBack(usize),
     /// What drains is gone.
-    Remove,
+    RemoveDrained,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -23,27 +23,27 @@
     Offered,
     /// In a stage: its nodes are starting, then carry it.
     Starting(usize),
-    Carrying(usize),
+    Serving(usize),
     /// On the way back, until the earlier build's nodes are up again.
-    Returning,
+    RollingBack,
     Live,
     Recalled,
 }
 
 /// How a release goes over a fleet.
 #[derive(Clone, Debug)]
-pub struct Course {
+pub struct ReleasePlan {
     pub nodes: usize,
     /// Share of the fleet, and cap, by stage; the last is all of it.
-    pub stages: Vec<f64>,
+    pub stage_shares: Vec<f64>,
     /// How long a node takes to start, and a stage to pass.
-    pub start: Duration,
-    pub stage: Duration,
+    pub node_start: Duration,
+    pub stage_duration: Duration,
 }
 
 #[derive(Debug)]
 pub struct Release {
-    course: Course,
+    plan: ReleasePlan,
     state: State,
     since: Duration,
     /// Nodes of the new build started, and of the earlier one drained, so far.
@@ -52,8 +52,8 @@
 }
 
 impl Release {
-    pub fn new(course: Course, now: Duration) -> Self {
-        Release { course, state: State::Offered, since: now, started: 0, drained: 0 }
+    pub fn new(plan: ReleasePlan, now: Duration) -> Self {
+        Release { plan, state: State::Offered, since: now, started: 0, drained: 0 }
     }
 
     /// Whether the build was released, once that is settled.
@@ -68,58 +68,58 @@
     /// The stage it is in, for people to look at.
     pub fn stage(&self) -> usize {
         match self.state {
-            State::Starting(stage) | State::Carrying(stage) => stage,
-            State::Live => self.course.stages.len(),
+            State::Starting(stage) | State::Serving(stage) => stage,
+            State::Live => self.plan.stage_shares.len(),
             _ => 0,
         }
     }
 
     /// The only place where the state changes.
-    fn shift(&mut self, to: State, now: Duration) {
+    fn enter_state(&mut self, to: State, now: Duration) {
         (self.state, self.since) = (to, now);
     }
 
     fn cap(&self, stage: usize) -> f64 {
-        self.course.stages.get(stage).copied().unwrap_or(1.0)
+        self.plan.stage_shares.get(stage).copied().unwrap_or(1.0)
     }
 
-    fn enter(&mut self, stage: usize, now: Duration) -> Vec<Step> {
-        let wanted = (self.cap(stage) * self.course.nodes as f64).ceil() as usize;
-        let more = wanted.saturating_sub(self.started);
-        self.started += more;
-        self.shift(State::Starting(stage), now);
-        vec![Step::Tell(stage as u8, "testing", self.cap(stage)), Step::Start(more)]
+    fn enter_stage(&mut self, stage: usize, now: Duration) -> Vec<Action> {
+        let target_nodes = (self.cap(stage) * self.plan.nodes as f64).ceil() as usize;
+        let additional = target_nodes.saturating_sub(self.started);
+        self.started += additional;
+        self.enter_state(State::Starting(stage), now);
+        vec![Action::Announce(stage as u8, "testing", self.cap(stage)), Action::StartNodes(additional)]
     }
 
     /// What is to be done by `now`; `back` where a vote against the build stands, `hold` where one stops the clock.
-    pub fn poll(&mut self, now: Duration, back: bool, hold: bool) -> Vec<Step> {
+    pub fn poll(&mut self, now: Duration, stop_vote: bool, hold_vote: bool) -> Vec<Action> {
         let age = now.saturating_sub(self.since);
         match self.state {
             State::Live | State::Recalled => Vec::new(),
-            State::Starting(_) | State::Carrying(_) if back => {
-                self.shift(State::Returning, now);
-                vec![Step::Tell(0, "recalling", 0.0), Step::Return(self.drained)]
+            State::Starting(_) | State::Serving(_) if stop_vote => {
+                self.enter_state(State::RollingBack, now);
+                vec![Action::Announce(0, "recalling", 0.0), Action::RollBack(self.drained)]
             }
-            State::Offered => self.enter(0, now),
-            State::Starting(stage) if age >= self.course.start => {
-                let drain = self.started - self.drained;
+            State::Offered => self.enter_stage(0, now),
+            State::Starting(stage) if age >= self.plan.node_start => {
+                let to_drain = self.started - self.drained;
                 self.drained = self.started;
-                self.shift(State::Carrying(stage), now);
-                vec![Step::Drain(drain)]
+                self.enter_state(State::Serving(stage), now);
+                vec![Action::DrainNodes(to_drain)]
             }
-            State::Carrying(stage) if age >= self.course.stage && !hold => {
-                let mut steps = vec![Step::Remove];
-                if stage + 1 < self.course.stages.len() {
-                    steps.extend(self.enter(stage + 1, now));
+            State::Serving(stage) if age >= self.plan.stage_duration && !hold_vote => {
+                let mut actions = vec![Action::RemoveDrained];
+                if stage + 1 < self.plan.stage_shares.len() {
+                    actions.extend(self.enter_stage(stage + 1, now));
                 } else {
-                    self.shift(State::Live, now);
-                    steps.push(Step::Tell(stage as u8, "live", 1.0));
+                    self.enter_state(State::Live, now);
+                    actions.push(Action::Announce(stage as u8, "live", 1.0));
                 }
-                steps
+                actions
             }
-            State::Returning if age >= self.course.start => {
-                self.shift(State::Recalled, now);
-                vec![Step::Remove, Step::Tell(0, "recalled", 0.0)]
+            State::RollingBack if age >= self.plan.node_start => {
+                self.enter_state(State::Recalled, now);
+                vec![Action::RemoveDrained, Action::Announce(0, "recalled", 0.0)]
             }
             _ => Vec::new(),
         }
--- a/crates/lab/src/stage.rs
+++ b/crates/lab/src/runtime.rs
@@ -38,42 +38,42 @@
 pub type Listener = async_io::Async<TcpListener>;
 pub type Stream = async_io::Async<TcpStream>;
 
-pub struct Stage {
-    tasks: Arc<Executor<'static>>,
+pub struct Runtime {
+    executor: Arc<Executor<'static>>,
     pub clock: Clock,
     /// Closed, it ends the thread.
-    _end: async_channel::Sender<()>,
+    _shutdown: async_channel::Sender<()>,
     thread: Option<JoinHandle<()>>,
 }
 
-impl Default for Stage {
+impl Default for Runtime {
     fn default() -> Self {
-        let tasks = Arc::new(Executor::new());
+        let executor = Arc::new(Executor::new());
         let (end, ended) = async_channel::bounded(1);
-        let on_stage = tasks.clone();
+        let running = executor.clone();
         let run = move || {
-            let _ = async_io::block_on(on_stage.run(ended.recv()));
+            let _ = async_io::block_on(running.run(ended.recv()));
         };
         let thread = std::thread::Builder::new().name("stand-ins".into()).spawn(run).ok();
-        Stage { tasks, clock: Clock::start(), _end: end, thread }
+        Runtime { executor, clock: Clock::start(), _shutdown: end, thread }
     }
 }
 
-impl Stage {
+impl Runtime {
     /// Runs a task until the stage is taken down.
     pub fn spawn(&self, task: impl Future<Output = ()> + Send + 'static) {
-        self.tasks.spawn(task).detach();
+        self.executor.spawn(task).detach();
     }
 
     /// Runs a task whose result is waited for elsewhere; dropped, it ends.
-    pub fn part<T: Send + 'static>(
+    pub fn spawn_with_result<T: Send + 'static>(
         &self, task: impl Future<Output = T> + Send + 'static,
     ) -> async_executor::Task<T> {
-        self.tasks.spawn(task)
+        self.executor.spawn(task)
     }
 
-    pub fn tasks(&self) -> Arc<Executor<'static>> {
-        self.tasks.clone()
+    pub fn executor(&self) -> Arc<Executor<'static>> {
+        self.executor.clone()
     }
 
     /// A free port.
@@ -89,9 +89,9 @@
     Ok((listener, addr))
 }
 
-impl Drop for Stage {
+impl Drop for Runtime {
     fn drop(&mut self) {
-        self._end.close();
+        self._shutdown.close();
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
@@ -99,14 +99,14 @@
 }
 
 /// Waits on the stage.
-pub async fn pause(span: Span) {
+pub async fn sleep(span: Span) {
     Timer::after(Duration::from_nanos(span.as_nanos())).await;
 }
 
 /// Waits in a story until something holds; false where it does not come to hold in time.
-pub fn until(limit: Duration, mut holds: impl FnMut() -> bool) -> bool {
+pub fn wait_until(limit: Duration, mut condition: impl FnMut() -> bool) -> bool {
     let start = Instant::now();
-    while !holds() {
+    while !condition() {
         if start.elapsed() > limit {
             return false;
         }
@@ -116,10 +116,10 @@
 }
 
 /// Waits in a story for the next of what a stand-in tells; none where nothing comes in time.
-pub fn next<T>(told: &async_channel::Receiver<T>, limit: Duration) -> Option<T> {
-    let late = async {
+pub fn next_within<T>(receiver: &async_channel::Receiver<T>, limit: Duration) -> Option<T> {
+    let timeout = async {
         Timer::after(limit).await;
         None
     };
-    async_io::block_on(futures_lite::future::or(async { told.recv().await.ok() }, late))
+    async_io::block_on(futures_lite::future::or(async { receiver.recv().await.ok() }, timeout))
 }
--- a/crates/lab/src/site.rs
+++ b/crates/lab/src/site.rs
@@ -8,24 +8,29 @@
 
 /// A path group as its hits are sent.
 #[derive(Clone, Debug)]
-pub struct Group {
+pub struct PathGroup {
     pub name: &'static str,
     pub effect: Effect,
-    pub target: Duration,
+    pub latency_target: Duration,
     pub benefit: f64,
 }
 
 /// How long a tagged hit's mark is remembered here.
-pub const MEMORY: Duration = Duration::from_millis(3_000);
+pub const DEDUP_MEMORY: Duration = Duration::from_millis(3_000);
 
 pub const READ: usize = 0;
 pub const PUSH: usize = 1;
 pub const BOOK: usize = 2;
 
 /// One path group of each kind, by their constants.
-pub fn groups() -> Vec<Group> {
-    let tagged = Effect::Tagged { scope: Scope::All, memory: Span::millis(MEMORY.as_millis() as u64) };
-    let group = |name, effect, benefit| Group { name, effect, target: Duration::from_millis(400), benefit };
+pub fn groups() -> Vec<PathGroup> {
+    let tagged = Effect::Tagged { scope: Scope::All, memory: Span::millis(DEDUP_MEMORY.as_millis() as u64) };
+    let group = |name, effect, benefit| PathGroup {
+        name,
+        effect,
+        latency_target: Duration::from_millis(400),
+        benefit,
+    };
     vec![
         group("read", Effect::Repeatable, 1.0),
         group("push", tagged, 3.0),
@@ -35,14 +40,14 @@
 
 /// The settings object of the site.
 pub fn settings() -> Value {
-    let class = |group: Group| {
+    let class = |group: PathGroup| {
         let effect = match group.effect {
             Effect::Repeatable => "retryable",
             Effect::Tagged { .. } => "dedup",
             Effect::Mutating => "fragile",
         };
-        json!({"name": group.name, "aim_ns": group.target.as_nanos() as u64, "deadline_ns": 1_500_000_000u64,
-            "effect": effect, "dedup_scope": "all", "memory_span_ns": MEMORY.as_nanos() as u64,
+        json!({"name": group.name, "aim_ns": group.latency_target.as_nanos() as u64, "deadline_ns": 1_500_000_000u64,
+            "effect": effect, "dedup_scope": "all", "memory_span_ns": DEDUP_MEMORY.as_nanos() as u64,
             "worth": group.benefit})
     };
     json!({"azs": ["a", "b"], "flavors": ["m"], "me": 0, "siblings": 1, "zone": 0, "tick_ns": 1_000_000u64,
@@ -74,9 +79,9 @@
 
 /// A marshal's configuration.
 pub fn config(
-    limits: Limits, discovery: SocketAddr, platform: SocketAddr, news: &Value, known: &Value,
+    limits: Limits, discovery: SocketAddr, platform: SocketAddr, build_status: &Value, known: &Value,
 ) -> Value {
     json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": discovery, "seed": "7",
         "limits": {"cores": 1.0, "memory_mb": limits.memory_mb, "sockets": limits.sockets},
-        "platform": {"address": platform, "news": news}, "known": known, "settings": settings()})
+        "platform": {"address": platform, "news": build_status}, "known": known, "settings": settings()})
 }
--- a/crates/lab/src/sizes.rs
+++ b/crates/lab/src/sizes.rs
@@ -1,7 +1,7 @@
 //! What a client's connection, a hit in work and a node's connection occupy, against what the plan of memory counts for them.
 
-use crate::load::Plan;
-use crate::node::Manner;
+use crate::load::LoadPlan;
+use crate::node::NodeBehavior;
 use crate::program::Program;
 use crate::site::Limits;
 use crate::wire;
@@ -72,7 +72,7 @@
 
 fn ask(number: usize) -> Vec<u8> {
     let id = format!("{number:016x}");
-    wire::command(&[b"SVC.QUERY", b"7f3a", id.as_bytes(), b"c=read,t=acme,d=900"])
+    wire::encode_command(&[b"SVC.QUERY", b"7f3a", id.as_bytes(), b"c=read,t=acme,d=900"])
 }
 
 /// Opens connections, each of which asks once and reads its answer.
@@ -90,7 +90,7 @@
 
 /// Measures all three, each on a marshal of its own.
 pub fn run(binary: &Path) -> Result<Vec<Size>, String> {
-    let manner = Manner { cores: 64, ..Manner::default() };
+    let manner = NodeBehavior { cores: 64, ..NodeBehavior::default() };
     let limits = Limits { memory_mb: 192, sockets: 2_048 };
     let start = || World::start(binary, NODES, limits, &manner, &["--operator", "/dev/null"]);
     let io = |e: std::io::Error| e.to_string();
@@ -139,9 +139,9 @@
     // Nodes that take their time: the more hits at once, the more connections to them. The difference of two rates
     // leaves out what all share.
     let world = start()?;
-    world.nodes.iter().for_each(|n| n.manner(|m| m.work = Duration::from_millis(50)));
+    world.nodes.iter().for_each(|n| n.update_behavior(|m| m.work_median = Duration::from_millis(50)));
     let under = |rate: f64| {
-        let load = world.load(Plan { connections: 1_024, ..Plan::reads(rate, 1) });
+        let load = world.load(LoadPlan { max_connections: 1_024, ..LoadPlan::reads(rate, 1) });
         std::thread::sleep(Duration::from_secs(3));
         let report = Report::of(&world.program);
         load.finish();
--- a/crates/lab/src/soak.rs
+++ b/crates/lab/src/soak.rs
@@ -1,13 +1,13 @@
 //! A long run among troubles, and the verdict on what a marshal's memory did: each purpose is to be flat after the
 //! first cycles, and what is held is to be accounted for.
 
-use crate::faults::{self, Timetable, Trouble};
-use crate::load::{Load, Plan, Tally};
-use crate::node::{Manner, Mood};
+use crate::faults::{self, Fault, FaultSchedule};
+use crate::load::{GroupStats, Load, LoadPlan};
+use crate::misbehaving::{self, MisbehavingClients};
+use crate::node::{FaultMode, NodeBehavior};
 use crate::plot;
 use crate::program::fresh_path;
-use crate::release::Course;
-use crate::rogue::{self, Rogues};
+use crate::release::ReleasePlan;
 use crate::rollout::Rollout;
 use crate::site::{Limits, PUSH, READ};
 use crate::trend::Trend;
@@ -43,7 +43,7 @@
     /// First cycles that are left out of the verdict.
     pub warm_up: usize,
     pub sample: Duration,
-    pub troubles: Vec<Trouble>,
+    pub troubles: Vec<Fault>,
     /// Bytes a second by which a purpose may seem to grow, and the process as a whole.
     pub purposes: f64,
     pub resident: f64,
@@ -61,11 +61,12 @@
     }
 }
 
-fn troubles(text: &str) -> Result<Vec<Trouble>, String> {
+fn troubles(text: &str) -> Result<Vec<Fault>, String> {
     if text == "all" {
         return Ok(faults::ALL.to_vec());
     }
-    let named = |name: &str| Trouble::named(name).ok_or_else(|| format!("names an unknown trouble '{name}'"));
+    let named =
+        |name: &str| Fault::from_name(name).ok_or_else(|| format!("names an unknown trouble '{name}'"));
     text.split(',').map(|name| named(name.trim())).collect()
 }
 
@@ -135,7 +136,7 @@
     pub unaccounted: (f64, f64),
     pub most_resident: f64,
     pub limit: f64,
-    pub tallies: Vec<Tally>,
+    pub tallies: Vec<GroupStats>,
     pub rogue_hits: u64,
     pub builds: u64,
     pub seconds: f64,
@@ -152,12 +153,12 @@
 struct Run<'a> {
     scenario: &'a Scenario,
     world: World,
-    rogues: Option<Rogues>,
+    rogues: Option<MisbehavingClients>,
     rogue_hits: u64,
     rollout: Option<Rollout>,
     build: u16,
     builds: u64,
-    usual: Manner,
+    usual: NodeBehavior,
     series: Series,
     /// The same, while no trouble is on: what is held for good stands out from what comes and goes.
     quiet: Series,
@@ -168,19 +169,19 @@
 
 /// Runs a soak against this binary; `told` is called at every look with the time, the length and the trouble that is on.
 pub fn run(
-    scenario: &Scenario, binary: &Path, out: Option<&Path>, mut told: impl FnMut(Duration, Duration, Trouble),
+    scenario: &Scenario, binary: &Path, out: Option<&Path>, mut told: impl FnMut(Duration, Duration, Fault),
 ) -> Result<Report, String> {
     let operator = fresh_path("ini");
     let sample = sheet::shown(Span::nanos(scenario.sample.as_nanos() as u64));
     let text = format!("[log]\nformat = json\nlines_per_second = 10000\n[memory]\nreport_every = {sample}\n");
     std::fs::write(&operator, text).map_err(|e| format!("{}: {e}", operator.display()))?;
-    let usual = Manner { cores: 8, ..Manner::default() };
+    let usual = NodeBehavior { cores: 8, ..NodeBehavior::default() };
     let args = ["--operator", operator.to_str().unwrap_or_default()];
     let keepalive = scenario.keepalive.as_nanos() as u64;
     let change = |config: &mut Value| config["settings"]["limits"]["keepalive_ns"] = keepalive.into();
     let world = World::start_with(binary, scenario.nodes, scenario.limits, &usual, &args, change)?;
-    let load = world.load(Plan::mixed(scenario.rate, scenario.seed));
-    let table = Timetable::draw(&scenario.troubles, scenario.cycles, scenario.phase, scenario.seed);
+    let load = world.load(LoadPlan::mixed(scenario.rate, scenario.seed));
+    let table = FaultSchedule::generate(&scenario.troubles, scenario.cycles, scenario.phase, scenario.seed);
     let mut run = Run {
         scenario,
         world,
@@ -199,7 +200,7 @@
     let start = run.world.stage.clock.elapsed();
     loop {
         let at = run.world.stage.clock.elapsed() - start;
-        let Some((phase, trouble, on)) = table.at(at) else { break };
+        let Some((phase, trouble, on)) = table.phase_at(at) else { break };
         if before != Some((phase, on)) {
             before = Some((phase, on));
             run.settle();
@@ -208,11 +209,11 @@
                 run.trouble(trouble, at);
             }
         }
-        if trouble == Trouble::Restarts && on {
+        if trouble == Fault::Restarts && on {
             run.restart(at);
         }
         run.look(at);
-        told(at, table.length(), trouble);
+        told(at, table.duration(), trouble);
         if let Some(status) = run.world.program.ended() {
             return Err(format!("the marshal ended in the middle of it, {status}"));
         }
@@ -234,55 +235,56 @@
         if let Some(rogues) = self.rogues.take() {
             self.rogue_hits += rogues.sent.load(std::sync::atomic::Ordering::Relaxed);
         }
-        self.world.mood(Mood::Well);
-        self.world.discovery.down(false);
-        self.world.platform.silent(false);
+        self.world.mood(FaultMode::Healthy);
+        self.world.discovery.set_down(false);
+        self.world.platform.set_silent(false);
         let (build, usual) = (self.build, self.usual.clone());
         let bad = self.rollout.as_ref().map(|r| r.build).filter(|b| *b != build);
         if bad.is_none() {
-            self.world.nodes.iter().for_each(|n| n.manner(|m| *m = usual.clone()));
+            self.world.nodes.iter().for_each(|n| n.update_behavior(|m| *m = usual.clone()));
         }
     }
 
-    fn trouble(&mut self, trouble: Trouble, at: Duration) {
+    fn trouble(&mut self, trouble: Fault, at: Duration) {
         let (world, many) = (&self.world, self.scenario.rogues);
         let half = world.nodes.len().div_ceil(2);
         let rogues = |manner, group, body| Some(world.rogues(manner, many, group, body));
-        let change = |change: fn(&mut Manner)| world.nodes.iter().for_each(|n| n.manner(change));
+        let change =
+            |change: fn(&mut NodeBehavior)| world.nodes.iter().for_each(|n| n.update_behavior(change));
         match trouble {
-            Trouble::Calm | Trouble::Restarts => {}
-            Trouble::Silent => world.nodes[..half].iter().for_each(|n| n.mood(Mood::Silent)),
-            Trouble::AllSilent => world.mood(Mood::Silent),
-            Trouble::Slow => change(|m| m.work *= 8),
-            Trouble::Resets => world.nodes[..half].iter().for_each(|n| n.mood(Mood::Resetting)),
-            Trouble::Spoilt => change(|m| m.spoils = 0.1),
-            Trouble::Deaf => world.nodes[0].mood(Mood::Deaf),
-            Trouble::LargeValues => change(|m| m.value = 60_000),
-            Trouble::Flood => self.rogues = rogues(rogue::Manner::Flood, PUSH, 40_000),
-            Trouble::NeverRead => self.rogues = rogues(rogue::Manner::NeverReads, READ, 0),
-            Trouble::Half => self.rogues = rogues(rogue::Manner::Half, PUSH, 65_000),
-            Trouble::Mute => self.rogues = rogues(rogue::Manner::Mute, READ, 0),
-            Trouble::Leave => self.rogues = rogues(rogue::Manner::Leaves, READ, 0),
-            Trouble::Stay => self.rogues = rogues(rogue::Manner::Stays, READ, 0),
-            Trouble::Outage => {
-                world.discovery.down(true);
-                world.platform.silent(true);
+            Fault::Calm | Fault::Restarts => {}
+            Fault::Silent => world.nodes[..half].iter().for_each(|n| n.set_fault_mode(FaultMode::Silent)),
+            Fault::AllSilent => world.mood(FaultMode::Silent),
+            Fault::Slow => change(|m| m.work_median *= 8),
+            Fault::Resets => world.nodes[..half].iter().for_each(|n| n.set_fault_mode(FaultMode::Resetting)),
+            Fault::Spoilt => change(|m| m.malformed_rate = 0.1),
+            Fault::Deaf => world.nodes[0].set_fault_mode(FaultMode::NotReading),
+            Fault::LargeValues => change(|m| m.value_bytes = 60_000),
+            Fault::Flood => self.rogues = rogues(misbehaving::Misbehavior::Flood, PUSH, 40_000),
+            Fault::NeverRead => self.rogues = rogues(misbehaving::Misbehavior::NeverReads, READ, 0),
+            Fault::Half => self.rogues = rogues(misbehaving::Misbehavior::HalfCommand, PUSH, 65_000),
+            Fault::Mute => self.rogues = rogues(misbehaving::Misbehavior::Mute, READ, 0),
+            Fault::Leave => self.rogues = rogues(misbehaving::Misbehavior::LeavesAtOnce, READ, 0),
+            Fault::Stay => self.rogues = rogues(misbehaving::Misbehavior::StaysIdle, READ, 0),
+            Fault::Outage => {
+                world.discovery.set_down(true);
+                world.platform.set_silent(true);
             }
-            Trouble::GoodBuild | Trouble::BadBuild if self.rollout.is_none() => {
-                let fails = if trouble == Trouble::BadBuild { 0.4 } else { 0.0 };
-                let manner = Manner { fails, ..self.usual.clone() };
+            Fault::GoodBuild | Fault::BadBuild if self.rollout.is_none() => {
+                let fails = if trouble == Fault::BadBuild { 0.4 } else { 0.0 };
+                let manner = NodeBehavior { error_rate: fails, ..self.usual.clone() };
                 let part = self.scenario.phase / 14;
-                let course = Course {
+                let course = ReleasePlan {
                     nodes: self.scenario.nodes,
-                    stages: vec![0.1, 0.35, 1.0],
-                    start: part,
-                    stage: part * 2,
+                    stage_shares: vec![0.1, 0.35, 1.0],
+                    node_start: part,
+                    stage_duration: part * 2,
                 };
                 self.builds += 1;
                 let build = FIRST_BUILD + self.builds as u16;
                 self.rollout = Some(Rollout::new(build, self.build, course, at, manner, self.usual.clone()));
             }
-            Trouble::GoodBuild | Trouble::BadBuild => {}
+            Fault::GoodBuild | Fault::BadBuild => {}
         }
     }
 
@@ -297,7 +299,7 @@
             node.restart();
             let now_ms = self.world.stage.clock.now() - stonescale::state::LONG_AGO;
             let ids = [node.name.clone()];
-            self.world.discovery.change(&ids, |e| e.started_ms = now_ms.as_nanos() / 1_000_000);
+            self.world.discovery.update(&ids, |e| e.started_ms = now_ms.as_nanos() / 1_000_000);
         }
     }
 
@@ -350,7 +352,7 @@
         }
     }
 
-    fn verdict(&self, load: &Load, table: &Timetable) -> Report {
+    fn verdict(&self, load: &Load, table: &FaultSchedule) -> Report {
         let scenario = self.scenario;
         let cycle = scenario.phase.as_secs_f64() * scenario.troubles.len() as f64;
         let from = cycle * scenario.warm_up as f64;
@@ -404,7 +406,7 @@
         if most_resident > limit {
             misses.push(format!("{most_resident:.0} bytes were resident, over the limit of {limit:.0}"));
         }
-        let broken = self.world.books.verdict();
+        let broken = self.world.books.violation_report();
         if !broken.is_empty() {
             misses.push(format!("rules broke: {broken}"));
         }
@@ -417,7 +419,7 @@
             tallies: load.finish(),
             rogue_hits: self.rogue_hits,
             builds: self.builds,
-            seconds: table.length().as_secs_f64(),
+            seconds: table.duration().as_secs_f64(),
             cpu,
             broken,
             misses,
@@ -450,8 +452,8 @@
     /// The verdict as a table in Markdown.
     pub fn table(&self) -> String {
         let mut text = String::new();
-        let sum = |f: fn(&Tally) -> u64| self.tallies.iter().map(f).sum::<u64>();
-        let (asked, delivered, tries) = (sum(|t| t.asked), sum(|t| t.delivered), sum(|t| t.tries));
+        let sum = |f: fn(&GroupStats) -> u64| self.tallies.iter().map(f).sum::<u64>();
+        let (asked, delivered, tries) = (sum(|t| t.hits), sum(|t| t.delivered), sum(|t| t.tries));
         let _ = writeln!(
             text,
             "{:.0} s; {asked} usual hits in {tries} tries, {delivered} delivered; {} hits of clients that misbehave; \
--- a/crates/lab/src/wire.rs
+++ b/crates/lab/src/wire.rs
@@ -1,12 +1,12 @@
 //! Reading and writing messages on the stand-ins' side.
 
-use crate::stage::Stream;
+use crate::runtime::Stream;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use std::io;
 use stonescale_formats::resp::{Bounds, Kind, Scanner, write_bulk};
 
 /// As much as the protocol page allows, and some more: what is too much is for the other side to find.
-const BOUNDS: Bounds = Bounds { parts: 32, bulk: 1 << 20, line: 4096, whole: 2 << 20 };
+const READ_LIMITS: Bounds = Bounds { parts: 32, bulk: 1 << 20, line: 4096, whole: 2 << 20 };
 
 /// A message as it was read.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -20,57 +20,61 @@
 }
 
 /// The messages that come on one connection.
-pub struct Messages {
-    held: Vec<u8>,
+pub struct MessageReader {
+    buffer: Vec<u8>,
     scanner: Scanner,
     scratch: Box<[u8]>,
 }
 
-impl Default for Messages {
+impl Default for MessageReader {
     fn default() -> Self {
-        Messages { held: Vec::new(), scanner: Scanner::new(BOUNDS), scratch: vec![0; 16 * 1024].into() }
+        MessageReader {
+            buffer: Vec::new(),
+            scanner: Scanner::new(READ_LIMITS),
+            scratch: vec![0; 16 * 1024].into(),
+        }
     }
 }
 
-impl Messages {
+impl MessageReader {
     /// The next message; none at the connection's end, an error where it broke or its framing is lost.
     pub async fn next(&mut self, stream: &mut &Stream) -> io::Result<Option<Message>> {
         loop {
-            if let Some(message) = self.whole()? {
+            if let Some(message) = self.parse_buffered()? {
                 return Ok(Some(message));
             }
             match stream.read(&mut self.scratch).await? {
                 0 => return Ok(None),
-                n => self.held.extend_from_slice(&self.scratch[..n]),
+                n => self.buffer.extend_from_slice(&self.scratch[..n]),
             }
         }
     }
 
     /// A message that has come already.
-    pub fn whole(&mut self) -> io::Result<Option<Message>> {
-        if self.held.is_empty() {
+    pub fn parse_buffered(&mut self) -> io::Result<Option<Message>> {
+        if self.buffer.is_empty() {
             return Ok(None);
         }
-        let bad = |why| io::Error::new(io::ErrorKind::InvalidData, why);
-        let Some(length) = self.scanner.scan(&self.held).map_err(bad)? else { return Ok(None) };
-        let text = |part: &stonescale_formats::resp::Part| self.held[part.text.clone()].to_vec();
+        let invalid = |why| io::Error::new(io::ErrorKind::InvalidData, why);
+        let Some(length) = self.scanner.scan(&self.buffer).map_err(invalid)? else { return Ok(None) };
+        let text = |part: &stonescale_formats::resp::Part| self.buffer[part.text.clone()].to_vec();
         let message = match (self.scanner.array, self.scanner.parts.first()) {
             (true, _) => Message::Array(self.scanner.parts.iter().map(text).collect()),
             (false, Some(part)) => match part.kind {
                 Kind::Bulk => Message::Bulk(text(part)),
                 Kind::Null => Message::Null,
-                _ => Message::Line(String::from_utf8_lossy(&self.held[..length]).trim_end().to_owned()),
+                _ => Message::Line(String::from_utf8_lossy(&self.buffer[..length]).trim_end().to_owned()),
             },
             (false, None) => Message::Null,
         };
         self.scanner.reset();
-        self.held.drain(..length);
+        self.buffer.drain(..length);
         Ok(Some(message))
     }
 }
 
 /// A command of bulk strings.
-pub fn command(words: &[&[u8]]) -> Vec<u8> {
+pub fn encode_command(words: &[&[u8]]) -> Vec<u8> {
     let mut out = format!("*{}\r\n", words.len()).into_bytes();
     words.iter().for_each(|word| write_bulk(&mut out, word));
     out
@@ -82,6 +86,6 @@
 }
 
 /// A value of the list `c=read,t=acme,d=480`.
-pub fn field<'a>(list: &'a str, name: &str) -> Option<&'a str> {
+pub fn list_value<'a>(list: &'a str, name: &str) -> Option<&'a str> {
     list.split(',').find_map(|item| item.split_once('=').filter(|(n, _)| *n == name).map(|(_, value)| value))
 }
--- a/crates/marshal/tests/memory.rs
+++ b/crates/marshal/tests/memory.rs
@@ -6,12 +6,12 @@
 use std::time::{Duration, Instant};
 use stonescale_lab::World;
 use stonescale_lab::discovery::Entry;
-use stonescale_lab::load::{Load, Plan};
-use stonescale_lab::node::{Act, Manner, Mood};
+use stonescale_lab::load::{Load, LoadPlan};
+use stonescale_lab::misbehaving::Misbehavior;
+use stonescale_lab::node::{FaultMode, NodeBehavior, ScriptedReply};
 use stonescale_lab::program::fresh_path;
-use stonescale_lab::rogue::Manner as Rogue;
+use stonescale_lab::runtime::wait_until;
 use stonescale_lab::site::{Limits, PUSH, READ};
-use stonescale_lab::stage::until;
 use stonescale_lab::wire;
 
 const MIB: usize = 1 << 20;
@@ -33,7 +33,7 @@
     static TURN: Mutex<()> = Mutex::new(());
     let _turn = TURN.lock().unwrap_or_else(PoisonError::into_inner);
     let binary = Path::new(env!("CARGO_BIN_EXE_stonescale"));
-    Alone { world: World::start(binary, nodes, limits, &Manner::default(), args).unwrap(), _turn }
+    Alone { world: World::start(binary, nodes, limits, &NodeBehavior::default(), args).unwrap(), _turn }
 }
 
 fn world(memory_mb: usize, sockets: usize) -> Alone {
@@ -57,15 +57,15 @@
 /// resident meanwhile.
 fn served(world: &World, load: &Load, share: f64, least: Duration) -> usize {
     let (start, mut good, mut last) = (Instant::now(), false, String::new());
-    load.count_anew();
+    load.take_stats();
     let most = world.most_resident(|| {
-        let read = load.tallies().swap_remove(READ);
+        let read = load.stats().swap_remove(READ);
         let ended = read.delivered + read.bounced + read.errored + read.unanswered;
         if ended >= SOME {
             good = read.delivered as f64 > share * ended as f64;
             let (bounced, errored) = (read.bounced, read.errored);
             last = format!("{} of {ended} ({bounced} bounced, {errored} errored)", read.delivered);
-            load.count_anew();
+            load.take_stats();
         }
         start.elapsed() >= LONG || good && start.elapsed() >= least
     });
@@ -76,8 +76,8 @@
 
 /// Usual clients are served as before, soon after the trouble.
 fn all_is_back(world: &World) {
-    world.mood(Mood::Well);
-    let reads = world.load(Plan::reads(100.0, 9));
+    world.mood(FaultMode::Healthy);
+    let reads = world.load(LoadPlan::reads(100.0, 9));
     served(world, &reads, 0.95, Duration::ZERO);
 }
 
@@ -86,36 +86,36 @@
 #[test]
 fn a_flood_meets_its_cap_and_all_is_back_after_it() {
     let world = world(32, 1024);
-    world.mood(Mood::Silent);
-    let flood = world.rogues(Rogue::Flood, 450, PUSH, 60_000);
+    world.mood(FaultMode::Silent);
+    let flood = world.rogues(Misbehavior::Flood, 450, PUSH, 60_000);
     let most = during(&world, TROUBLE);
     drop(flood);
     assert!(most < 32 * MIB, "resident {most}");
     all_is_back(&world);
-    assert_eq!(world.books.verdict(), "");
+    assert_eq!(world.books.violation_report(), "");
 }
 
 #[test]
 fn readers_are_answered_as_before_while_a_flood_meets_silent_nodes() {
     // Half of the nodes are silent: the flood stands in work for long, and its purpose is full.
     let world = world(8, 1024);
-    world.nodes[..2].iter().for_each(|n| n.mood(Mood::Silent));
-    let flood = world.rogues(Rogue::Flood, 150, PUSH, 40_000);
+    world.nodes[..2].iter().for_each(|n| n.set_fault_mode(FaultMode::Silent));
+    let flood = world.rogues(Misbehavior::Flood, 150, PUSH, 40_000);
     std::thread::sleep(Duration::from_millis(1_000));
-    let reads = world.load(Plan::reads(100.0, 3));
+    let reads = world.load(LoadPlan::reads(100.0, 3));
     let most = served(&world, &reads, 0.9, TROUBLE);
     drop(flood);
     assert!(most < 8 * MIB, "resident {most}");
     all_is_back(&world);
-    assert_eq!(world.books.verdict(), "");
+    assert_eq!(world.books.violation_report(), "");
 }
 
 #[test]
 fn where_a_flood_holds_every_connection_the_others_have_their_turn() {
     let world = world(32, 256);
-    let flood = world.rogues(Rogue::Flood, 200, PUSH, 40_000);
+    let flood = world.rogues(Misbehavior::Flood, 200, PUSH, 40_000);
     std::thread::sleep(Duration::from_millis(1_500));
-    let reads = world.load(Plan::reads(50.0, 3));
+    let reads = world.load(LoadPlan::reads(50.0, 3));
     served(&world, &reads, 0.5, TROUBLE);
     drop(flood);
     all_is_back(&world);
@@ -126,8 +126,8 @@
 #[test]
 fn clients_that_never_read_are_left_before_they_take_all_room() {
     let world = world(8, 1024);
-    world.nodes.iter().for_each(|n| n.manner(|m| m.value = 60_000));
-    let mutes = world.rogues(Rogue::NeverReads, 150, READ, 0);
+    world.nodes.iter().for_each(|n| n.update_behavior(|m| m.value_bytes = 60_000));
+    let mutes = world.rogues(Misbehavior::NeverReads, 150, READ, 0);
     let most = during(&world, TROUBLE);
     drop(mutes);
     assert!(most < 8 * MIB, "resident {most}");
@@ -137,25 +137,25 @@
 #[test]
 fn half_commands_on_every_connection_leave_room_for_whole_ones() {
     let world = world(8, 1024);
-    let halves = world.rogues(Rogue::Half, 400, PUSH, 65_000);
+    let halves = world.rogues(Misbehavior::HalfCommand, 400, PUSH, 65_000);
     std::thread::sleep(Duration::from_millis(500));
-    let reads = world.load(Plan::reads(100.0, 3));
+    let reads = world.load(LoadPlan::reads(100.0, 3));
     let most = served(&world, &reads, 0.9, TROUBLE);
     drop(halves);
     assert!(most < 8 * MIB, "resident {most}");
     all_is_back(&world);
-    assert_eq!(world.books.verdict(), "");
+    assert_eq!(world.books.violation_report(), "");
 }
 
 #[test]
 fn values_of_all_nodes_at_once_for_clients_that_leave_stay_within_their_cap() {
     let world = alone(128, Limits { memory_mb: 8, sockets: 1024 }, &[]);
-    world.nodes.iter().for_each(|n| n.manner(|m| m.value = 65_000));
+    world.nodes.iter().for_each(|n| n.update_behavior(|m| m.value_bytes = 65_000));
     // Nothing can be passed on, as all lack their last byte; together they are more than the process may hold.
-    world.mood(Mood::Halting);
-    let stayers = world.rogues(Rogue::Stays, 500, READ, 0);
-    let come = || world.nodes.iter().map(|n| n.taken()).sum::<u64>() > 200;
-    assert!(until(LONG, come), "hits come to the nodes");
+    world.mood(FaultMode::WithholdingLastByte);
+    let stayers = world.rogues(Misbehavior::StaysIdle, 500, READ, 0);
+    let come = || world.nodes.iter().map(|n| n.commands_received()).sum::<u64>() > 200;
+    assert!(wait_until(LONG, come), "hits come to the nodes");
     during(&world, TROUBLE / 10);
     drop(stayers);
     all_is_back(&world);
@@ -168,21 +168,21 @@
 #[test]
 fn what_one_node_does_not_read_takes_nothing_from_the_others() {
     let world = world(8, 256);
-    world.nodes[0].mood(Mood::Deaf);
-    let flood = world.rogues(Rogue::Flood, 40, PUSH, 40_000);
-    let reads = world.load(Plan::reads(100.0, 3));
+    world.nodes[0].set_fault_mode(FaultMode::NotReading);
+    let flood = world.rogues(Misbehavior::Flood, 40, PUSH, 40_000);
+    let reads = world.load(LoadPlan::reads(100.0, 3));
     std::thread::sleep(Duration::from_millis(500));
     let most = served(&world, &reads, 0.9, TROUBLE);
     drop(flood);
     assert!(most < 8 * MIB, "resident {most}");
     all_is_back(&world);
-    assert_eq!(world.books.verdict(), "");
+    assert_eq!(world.books.violation_report(), "");
 }
 
 #[test]
 fn hits_that_could_wait_for_minutes_leave_nothing_behind_once_they_are_answered() {
     let world = world(8, 256);
-    let quick = world.patient_rogues(Rogue::Flood, 40, READ, 0, Duration::from_secs(600));
+    let quick = world.patient_rogues(Misbehavior::Flood, 40, READ, 0, Duration::from_secs(600));
     std::thread::sleep(Duration::from_millis(500));
     let before = world.program.sample().unwrap().resident;
     let answered = || quick.answered.load(std::sync::atomic::Ordering::Relaxed);
@@ -202,30 +202,30 @@
 #[test]
 fn a_list_of_ten_thousand_nodes_is_taken_as_far_as_there_is_room_and_hits_go_on() {
     let world = world(32, 256);
-    let reads = world.load(Plan::reads(100.0, 3));
-    world.discovery.list(strangers(0..10_000, "draining"));
+    let reads = world.load(LoadPlan::reads(100.0, 3));
+    world.discovery.publish(strangers(0..10_000, "draining"));
     let line = world.program.logged("are left out", LONG).unwrap();
     assert!(line.contains("nodes of the list"), "{line}");
     let most = served(&world, &reads, 0.95, TROUBLE / 2);
     assert!(most < 32 * MIB, "resident {most}");
-    assert_eq!(world.books.verdict(), "");
+    assert_eq!(world.books.violation_report(), "");
 }
 
 #[test]
 fn a_line_without_end_and_lists_ever_new_leave_memory_flat() {
     let world = world(8, 256);
-    let reads = world.load(Plan::reads(100.0, 3));
+    let reads = world.load(LoadPlan::reads(100.0, 3));
     // A node's number is free again some seconds after it is gone: lists of a few hundred names a second.
     let round = |number: usize| {
         let ids = number * 100..number * 100 + 100;
-        world.discovery.list(strangers(ids.clone(), "draining"));
-        world.discovery.list(strangers(ids, "removed"));
+        world.discovery.publish(strangers(ids.clone(), "draining"));
+        world.discovery.publish(strangers(ids, "removed"));
         std::thread::sleep(Duration::from_millis(100));
     };
     (0..40).for_each(round);
     let before = world.program.sample().unwrap().resident;
     (40..80).for_each(round);
-    world.discovery.say(Some("x".repeat(6 << 20)));
+    world.discovery.send_raw(Some("x".repeat(6 << 20)));
     let most = served(&world, &reads, 0.95, TROUBLE / 2);
     assert!(most < before + MIB, "resident {before}, then {most}");
 }
@@ -265,7 +265,7 @@
 #[test]
 fn a_change_of_level_is_told_and_a_reserve_under_pressure_stays_its_owners() {
     let (world, _path) = world_with("[memory.halves]\ncap = 8%\n");
-    let halves = world.rogues(Rogue::Half, 40, PUSH, 65_000);
+    let halves = world.rogues(Misbehavior::HalfCommand, 40, PUSH, 65_000);
     let line = world.program.logged("memory level", LONG).unwrap();
     assert!(line.contains("purpose=\"halves\"") && line.contains("from=\"easy\""), "{line}");
     drop(halves);
@@ -277,7 +277,7 @@
 fn gives_back(world: &World, purpose: &str) {
     let named = format!("memory by purpose purpose=\"{purpose}\"");
     let line = || world.program.logged(&named, LONG).unwrap();
-    assert!(until(LONG, || !line().contains(" reclaimed=0 ")), "{purpose}");
+    assert!(wait_until(LONG, || !line().contains(" reclaimed=0 ")), "{purpose}");
 }
 
 const OFTEN: &str = "[memory]\nreport_every = 250ms\n[log]\nlines_per_second = 1000\n";
@@ -286,7 +286,7 @@
 fn where_connections_run_short_idle_clients_are_closed_before_none_can_be_taken() {
     // 144 are the most that are taken; a connection that says nothing is left by itself after 2.5 s.
     let (world, _path) = world_with(OFTEN);
-    let _mutes = world.rogues(Rogue::Mute, 120, READ, 0);
+    let _mutes = world.rogues(Misbehavior::Mute, 120, READ, 0);
     gives_back(&world, "clients");
 }
 
@@ -294,8 +294,8 @@
 fn where_nodes_run_short_those_that_are_gone_are_forgotten_before_any_is_left_out() {
     let (world, _path) = world_with(OFTEN);
     // Of 2,048 at most; in two lists, as one would take the room that the nodes are to fill.
-    world.discovery.list(strangers(0..950, "removed"));
-    world.discovery.list(strangers(950..1_900, "removed"));
+    world.discovery.publish(strangers(0..950, "removed"));
+    world.discovery.publish(strangers(950..1_900, "removed"));
     gives_back(&world, "nodes");
 }
 
@@ -319,13 +319,13 @@
 fn values_that_wait_for_one_before_them_are_given_in_order_or_errored_where_they_have_no_room() {
     use std::io::{BufRead, BufReader, Read, Write};
     let world = world(8, 256);
-    world.nodes.iter().for_each(|n| n.manner(|m| m.value = 60_000));
-    world.nodes.iter().for_each(|n| n.script([Act::Nothing]));
+    world.nodes.iter().for_each(|n| n.update_behavior(|m| m.value_bytes = 60_000));
+    world.nodes.iter().for_each(|n| n.script([ScriptedReply::NoReply]));
     let mut stream = std::net::TcpStream::connect(world.program.addr).unwrap();
     stream.set_read_timeout(Some(LONG)).unwrap();
     let ids: Vec<_> = (0..60).map(|n| format!("{n:016x}")).collect();
     for id in &ids {
-        let command = wire::command(&[b"SVC.QUERY", b"7f3a", id.as_bytes(), b"c=read,t=acme,d=900"]);
+        let command = wire::encode_command(&[b"SVC.QUERY", b"7f3a", id.as_bytes(), b"c=read,t=acme,d=900"]);
         stream.write_all(&command).unwrap();
     }
     let mut answers = BufReader::new(stream);
--- a/crates/marshal/tests/sizes.rs
+++ b/crates/marshal/tests/sizes.rs
@@ -9,9 +9,9 @@
 use std::time::Duration;
 use stonescale_lab::World;
 use stonescale_lab::discovery::Entry;
-use stonescale_lab::node::{Manner, Node};
+use stonescale_lab::node::{Node, NodeBehavior};
+use stonescale_lab::runtime::wait_until;
 use stonescale_lab::site::Limits;
-use stonescale_lab::stage::until;
 use stonescale_lab::wire;
 use stonescale_lab::world::FIRST_BUILD;
 
@@ -42,7 +42,7 @@
 /// A marshal that is told of so many nodes and marshals.
 fn fleet(nodes: usize, marshals: usize, memory_mb: usize, change: impl Fn(&mut Value)) -> Fleet {
     let binary = Path::new(env!("CARGO_BIN_EXE_stonescale"));
-    let manner = Manner { cores: 64, ..Manner::default() };
+    let manner = NodeBehavior { cores: 64, ..NodeBehavior::default() };
     let change = |config: &mut Value| {
         let settings = &mut config["settings"];
         settings["azs"] = json!(ZONES);
@@ -67,8 +67,9 @@
 impl Fleet {
     /// Asks until the list that leads to a listener has been taken in.
     fn reaches(&self, node: usize) {
-        let before = self.nodes[node].taken();
-        let there = until(LONG, || self.served(1, "read") == 1 && self.nodes[node].taken() > before);
+        let before = self.nodes[node].commands_received();
+        let there =
+            wait_until(LONG, || self.served(1, "read") == 1 && self.nodes[node].commands_received() > before);
         assert!(there, "{:?}", self.program.log.try_iter().collect::<Vec<_>>());
     }
 
@@ -80,8 +81,8 @@
         let mut one = |at: usize| {
             let id = format!("{at:016x}");
             let command = match class {
-                "read" => wire::command(&[b"SVC.QUERY", b"7f3a", id.as_bytes(), list.as_bytes()]),
-                _ => wire::command(&[b"SVC.SUBMIT", b"7f3a", id.as_bytes(), list.as_bytes(), b"body"]),
+                "read" => wire::encode_command(&[b"SVC.QUERY", b"7f3a", id.as_bytes(), list.as_bytes()]),
+                _ => wire::encode_command(&[b"SVC.SUBMIT", b"7f3a", id.as_bytes(), list.as_bytes(), b"body"]),
             };
             stream.get_mut().write_all(&command).unwrap();
             let mut line = String::new();
@@ -105,8 +106,8 @@
     assert_eq!(fleet.served(50, "read") + fleet.served(50, "book"), 100);
     // All of them go at once, and others come; then the same ids are back.
     for (gone, here, node) in [(0..MANY, MANY..2 * MANY, 1), (MANY..2 * MANY, 0..MANY, 0)] {
-        fleet.discovery.list(entries(&fleet.nodes[1 - node], gone, "removed"));
-        fleet.discovery.list(entries(&fleet.nodes[node], here, "up"));
+        fleet.discovery.publish(entries(&fleet.nodes[1 - node], gone, "removed"));
+        fleet.discovery.publish(entries(&fleet.nodes[node], here, "up"));
         fleet.reaches(node);
         assert_eq!(fleet.served(50, "read"), 50);
     }
@@ -125,9 +126,9 @@
         config["settings"]["zone"] = Value::Null;
     });
     assert_eq!(fleet.served(20, "read"), 20);
-    fleet.discovery.list(entries(&fleet.nodes[0], 0..8, "removed"));
-    assert!(until(LONG, || fleet.served(1, "read") == 0), "no node is left");
-    fleet.discovery.list(entries(&fleet.nodes[1], 0..8, "up"));
+    fleet.discovery.publish(entries(&fleet.nodes[0], 0..8, "removed"));
+    assert!(wait_until(LONG, || fleet.served(1, "read") == 0), "no node is left");
+    fleet.discovery.publish(entries(&fleet.nodes[1], 0..8, "up"));
     fleet.reaches(1);
     assert_eq!(fleet.served(20, "book"), 20);
 }
--- a/crates/marshal/tests/sockets.rs
+++ b/crates/marshal/tests/sockets.rs
@@ -9,27 +9,27 @@
 use std::sync::LazyLock;
 use std::thread;
 use std::time::{Duration, Instant};
-use stonescale_lab::Stage;
-use stonescale_lab::checker::{Books, Bounds, Checker};
+use stonescale_lab::Runtime;
+use stonescale_lab::checker::{Bounds, Checker, SharedChecker};
 use stonescale_lab::discovery::{Discovery, Entry};
-use stonescale_lab::node::{Act, Manner, Node};
-use stonescale_lab::platform::{News, Platform};
+use stonescale_lab::node::{Node, NodeBehavior, ScriptedReply};
+use stonescale_lab::platform::{BuildStatus, Platform};
 use stonescale_lab::program::{Program, fresh_path};
-use stonescale_lab::stage::{next, until};
+use stonescale_lab::runtime::{next_within, wait_until};
 
 /// Longer than anything here takes; a story that waits for so long has failed.
 const LONG: Duration = Duration::from_secs(20);
 
 /// All stories' stand-ins.
-static STAGE: LazyLock<Stage> = LazyLock::new(Stage::default);
+static STAGE: LazyLock<Runtime> = LazyLock::new(Runtime::default);
 
-fn books() -> Books {
-    Books::new(Checker::new(Bounds::default(), 0.1))
+fn books() -> SharedChecker {
+    SharedChecker::new(Checker::new(Bounds::default(), 0.1))
 }
 
 /// A node that does `first` with its first command and serves all others.
-fn node(first: impl IntoIterator<Item = Act>) -> Node {
-    let node = Node::start(&STAGE, "s-0", 0, Manner::default(), books());
+fn node(first: impl IntoIterator<Item = ScriptedReply>) -> Node {
+    let node = Node::start(&STAGE, "s-0", 0, NodeBehavior::default(), books());
     node.script(first);
     node
 }
@@ -38,17 +38,17 @@
     node([])
 }
 
-fn say(text: &str) -> Act {
-    Act::Say(text.into())
+fn say(text: &str) -> ScriptedReply {
+    ScriptedReply::Send(text.into())
 }
 
-fn say_and_close(text: &str) -> Act {
-    Act::SayAndClose(text.into())
+fn say_and_close(text: &str) -> ScriptedReply {
+    ScriptedReply::SendAndClose(text.into())
 }
 
 /// The words of the next command that a node gets; none at a connection's end.
 fn told(node: &Node) -> Vec<String> {
-    next(&node.heard, LONG).unwrap()
+    next_within(&node.received, LONG).unwrap()
 }
 
 const BUILD: u16 = 4;
@@ -79,7 +79,7 @@
 fn config(known: Value, discovery: SocketAddr, platform: SocketAddr) -> Value {
     json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": discovery, "seed": "7",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-        "platform": {"address": platform, "news": News::live(BUILD).json(0)},
+        "platform": {"address": platform, "news": BuildStatus::live(BUILD).to_json(0)},
         "known": known, "settings": settings()})
 }
 
@@ -98,9 +98,9 @@
 
     fn start_with(nodes: &[&Node], change: impl Fn(&mut Value)) -> Self {
         let discovery = Discovery::start(&STAGE, books());
-        let platform = Platform::start(&STAGE, News::live(BUILD), books());
-        discovery.list(nodes.iter().enumerate().map(|(id, node)| entry(id, node, "up")));
-        let mut config = config(discovery.all(), discovery.addr, platform.addr);
+        let platform = Platform::start(&STAGE, BuildStatus::live(BUILD), books());
+        discovery.publish(nodes.iter().enumerate().map(|(id, node)| entry(id, node, "up")));
+        let mut config = config(discovery.full_list(), discovery.addr, platform.addr);
         change(&mut config);
         let env = [("NODE_DISCOVERY", &*discovery.addr.to_string())];
         let binary = Path::new(env!("CARGO_BIN_EXE_stonescale"));
@@ -185,7 +185,7 @@
 
 #[rstest]
 fn commands_written_at_once_start_at_once_and_are_answered_in_order() {
-    let node = node([Act::Hold]);
+    let node = node([ScriptedReply::ServeAfterNextCommand]);
     let marshal = Marshal::start(&[&node]);
     let mut client = marshal.client();
     client.book();
@@ -199,7 +199,7 @@
 
 #[rstest]
 fn a_client_that_leaves_has_its_forward_called_off() {
-    let node = node([Act::Nothing]);
+    let node = node([ScriptedReply::NoReply]);
     let marshal = Marshal::start(&[&node]);
     let mut client = marshal.client();
     client.book();
@@ -316,7 +316,7 @@
                     build: 100 + round as u16,
                     ..entry(1_000_000 * round + 1_000 * part + number, &node, state)
                 };
-                marshal.discovery.list((0..200).map(one));
+                marshal.discovery.publish((0..200).map(one));
             }
             // A second has the sweep in it twice.
             thread::sleep(Duration::from_millis(50));
@@ -339,8 +339,8 @@
 #[case::null(say("*3\r\n$-1\r\n$-1\r\n$-1\r\n"), "-ERR failed\r\n")]
 #[case::garbage(say("what?\r\n"), "-ERR failed\r\n")]
 #[case::too_long(say("*1\r\n$65537\r\n"), "-ERR failed\r\n")]
-#[case::silent(Act::Nothing, "-ERR failed\r\n")]
-fn a_mutating_hit_goes_again_only_if_it_never_ran(#[case] act: Act, #[case] expected: &str) {
+#[case::silent(ScriptedReply::NoReply, "-ERR failed\r\n")]
+fn a_mutating_hit_goes_again_only_if_it_never_ran(#[case] act: ScriptedReply, #[case] expected: &str) {
     let node = node([act]);
     let marshal = Marshal::start(&[&node]);
     let mut client = marshal.client();
@@ -410,7 +410,7 @@
 
 #[rstest]
 fn a_second_copy_that_comes_a_moment_later_is_not_the_next_hits_answer() {
-    let node = node([Act::SayMore("*1\r\n$5\r\nwrong\r\n".into())]);
+    let node = node([ScriptedReply::ServeThenSend("*1\r\n$5\r\nwrong\r\n".into())]);
     let marshal = Marshal::start(&[&node]);
     let mut client = marshal.client();
     assert_eq!([client.ask(), client.ask()], [SERVED, SERVED]);
@@ -435,8 +435,11 @@
     let marshal = Marshal::start(&[&one]);
     let mut client = marshal.client();
     assert_eq!(client.ask(), SERVED);
-    assert_eq!(next(&marshal.discovery.asked, LONG).unwrap(), "/v1/endpoints?follow=1&since=2");
-    marshal.discovery.list([entry(0, &one, "draining"), entry(1, &two, "up")]);
+    assert_eq!(
+        next_within(&marshal.discovery.requested_paths, LONG).unwrap(),
+        "/v1/endpoints?follow=1&since=2"
+    );
+    marshal.discovery.publish([entry(0, &one, "draining"), entry(1, &two, "up")]);
     assert!(!told(&one).is_empty());
     assert!(told(&one).is_empty(), "its connection is given up");
     assert_eq!(client.ask(), SERVED);
@@ -452,13 +455,13 @@
 fn a_watch_that_is_of_no_use_is_opened_again(#[case] line: Option<Option<String>>) {
     let back = line.as_ref().is_some_and(|l| l.as_ref().is_some_and(|l| l.contains(":1,")));
     let marshal = Marshal::start(&[]);
-    marshal.discovery.silent(line.is_none());
-    next(&marshal.discovery.asked, LONG).unwrap();
-    while marshal.discovery.watches() == 0 {
+    marshal.discovery.set_silent(line.is_none());
+    next_within(&marshal.discovery.requested_paths, LONG).unwrap();
+    while marshal.discovery.watch_count() == 0 {
         thread::yield_now();
     }
-    line.into_iter().for_each(|line| marshal.discovery.say(line));
-    let again = next(&marshal.discovery.asked, LONG).unwrap();
+    line.into_iter().for_each(|line| marshal.discovery.send_raw(line));
+    let again = next_within(&marshal.discovery.requested_paths, LONG).unwrap();
     assert_eq!(again.contains("&since=2"), !back, "{again}");
 }
 
@@ -466,8 +469,8 @@
 fn the_marshal_subscribes_again_after_a_cut() {
     let marshal = Marshal::start(&[]);
     for _ in 0..3 {
-        assert!(next(&marshal.platform.heard, LONG).unwrap().contains("\"subscribe\""));
-        marshal.platform.cut();
+        assert!(next_within(&marshal.platform.received, LONG).unwrap().contains("\"subscribe\""));
+        marshal.platform.close_connections();
     }
 }
 
@@ -475,7 +478,7 @@
 
 #[rstest]
 fn told_to_end_a_marshal_answers_what_it_took_and_closes_idle_connections() {
-    let node = node([Act::Nothing]);
+    let node = node([ScriptedReply::NoReply]);
     let mut marshal = Marshal::start(&[&node]);
     let (mut idle, mut busy) = (marshal.client(), marshal.client());
     idle.send(&["PING"]);
@@ -488,7 +491,7 @@
     assert_eq!(busy.answer(), "-ERR failed\r\n");
     assert_eq!([idle.answer(), busy.answer()], ["", ""]);
     let mut end = None;
-    assert!(until(LONG, || {
+    assert!(wait_until(LONG, || {
         end = marshal.program.ended();
         end.is_some()
     }));
@@ -499,13 +502,13 @@
 fn on_sighup_discovery_and_platform_move_to_what_the_file_says_without_a_gap() {
     let node = serving();
     let marshal = Marshal::start(&[&node]);
-    next(&marshal.discovery.asked, LONG).unwrap();
-    next(&marshal.platform.heard, LONG).unwrap();
+    next_within(&marshal.discovery.requested_paths, LONG).unwrap();
+    next_within(&marshal.platform.received, LONG).unwrap();
     let there = Discovery::start(&STAGE, books());
-    there.silent(true);
+    there.set_silent(true);
     // It counts its versions on from those of the one before.
-    (0..3).for_each(|_| there.list([]));
-    let platform = Platform::start(&STAGE, News::live(BUILD), books());
+    (0..3).for_each(|_| there.publish([]));
+    let platform = Platform::start(&STAGE, BuildStatus::live(BUILD), books());
     let mut config = marshal.config.clone();
     (config["discovery"], config["platform"]["address"]) = (json!(there.addr), json!(platform.addr));
     config["seed"] = json!("8");
@@ -514,16 +517,16 @@
     marshal.reread(&text, "read the configuration again");
     let restart = marshal.reread(&text, "needing a new start");
     assert!(restart.ends_with("needing a new start: seed"), "{restart}");
-    assert_eq!(next(&there.asked, LONG).unwrap(), "/v1/endpoints?follow=1&since=2");
-    assert!(next(&platform.heard, LONG).unwrap().contains("\"subscribe\""));
+    assert_eq!(next_within(&there.requested_paths, LONG).unwrap(), "/v1/endpoints?follow=1&since=2");
+    assert!(next_within(&platform.received, LONG).unwrap().contains("\"subscribe\""));
     marshal.logged("the platform has moved");
     // Until the new one has told something, the old one is still believed.
-    marshal.discovery.list([entry(0, &node, "draining")]);
+    marshal.discovery.publish([entry(0, &node, "draining")]);
     let mut client = marshal.client();
     while client.ask() == SERVED {
         told(&node);
     }
-    there.list([entry(1, &node, "up")]);
+    there.publish([entry(1, &node, "up")]);
     while client.ask() != SERVED {}
     marshal.program.signal("TERM");
     marshal.program.signal("HUP");
