--- a/crates/lab/src/checker.rs
+++ b/crates/lab/src/checker.rs
@@ -1,64 +1,72 @@
-//! The five rules, checked from outside by books of their own: what clients sent and were told, what nodes were sent
-//! and ran, what the marshal was told of nodes and builds. No I/O, no clock but the times handed in.
+//! Checker of the service's five rules, from the outside: it records what clients sent and received, what nodes were
+//! sent and executed, and what the marshal was told about nodes and builds. It does no I/O and reads no clock; times
+//! are arguments.
+//!
+//! 1. Each hit gets exactly one final answer before the client's timeout, and nothing is sent for it afterwards.
+//! 2. No hit has its effect twice.
+//! 3. A node receives nothing new past the grace after it was reported draining or removed.
+//! 4. No marshal overloads a cold node.
+//! 5. Forwards to a build on trial stay within the allowance plus the cap times the hits.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use stonescale::terms::Effect;
 use stonescale::time::{Span, Time};
 
-/// Bounds of the rules, as the settings and the protocol page state them; each limit on sockets is 50 ms longer.
+/// Bounds of the rules, as in the settings and the protocol page.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// Time after which a drain binds.
+    /// Time after which a drain notice is binding.
     pub drain_grace: Span,
-    /// Time after which a lower cap binds.
+    /// Time after which a lowered cap is binding.
     pub cap_grace: Span,
+    /// Added to each limit that is observed through sockets.
     pub socket_slack: Span,
-    /// Over each window of this length, exposure is counted. Hits that were taken before a cap rose count with the
-    /// higher one.
+    /// Length of the sliding window over which forwards to a build on trial are counted. Hits received before a cap
+    /// rose count with the higher cap.
     pub window: Span,
-    /// Forwards over the cap that pass, and the part of the cap that passes besides.
+    /// Forwards allowed beyond the cap in each window, and the factor by which the cap itself may be exceeded.
     pub allowance: f64,
     pub cap_factor: f64,
     pub cold_start: ColdStart,
 }
 
-/// When a cold node falls over, as the settings state it.
+/// Warm-up of a node that starts cold, and when it counts as overloaded, as in the settings.
 #[derive(Clone, Copy, Debug)]
 pub struct ColdStart {
-    /// Part of its capacity that it starts with, and the time in which it rises evenly to the whole.
+    /// Share of its full capacity with which a node starts, and the time over which the share rises linearly to 1.
     pub initial_share: f64,
     pub ramp: Span,
-    /// Sent so many times what it can do at the moment, for so long, it falls over.
+    /// A node is overloaded if it receives more than this multiple of its current capacity for this long.
     pub overload_factor: f64,
     pub overload_duration: Span,
 }
 
 impl ColdStart {
-    /// Part of its capacity that a node has, so long after its start.
+    /// Share of its full capacity that a node has at this age.
     fn capacity_share(&self, age: Span) -> f64 {
         (self.initial_share + (1.0 - self.initial_share) * age.over(self.ramp)).min(1.0)
     }
 }
 
-/// Forwards to a node are counted in steps of this length, to be held against what it can do.
+/// Length of the intervals in which forwards to a cold node are counted and compared with its capacity.
 const COUNT_INTERVAL: Span = Span::millis(100);
 
-/// What a node that started cold was sent.
+/// Forwards to a node that started cold.
 #[derive(Clone, Copy)]
 struct WarmingNode {
     started: Time,
-    /// Commands a second that it can do when it is warm.
+    /// Capacity of the warm node, in commands a second.
     capacity: f64,
-    /// The present step since its start, and forwards in it.
+    /// Number of the current interval since the node's start, and the forwards in it.
     interval: u64,
     forwards: u32,
-    /// Since when each step was too much, and whether it was cold then.
+    /// First of the consecutive intervals with too many forwards, and whether the node was still cold in it.
     overloaded_since: Option<(u64, bool)>,
 }
 
 impl WarmingNode {
-    /// Takes in a forward; true where it completes a push over a cold node.
+    /// Counts a forward. True if it completes an overload that began while the node was cold.
     fn record_forward(&mut self, cold: &ColdStart, now: Time) -> bool {
         let interval = ((now - self.started).as_nanos()) / COUNT_INTERVAL.as_nanos();
         let mut overloaded = false;
@@ -76,7 +84,7 @@
                 (overloaded, self.overloaded_since) = (true, None);
             }
             if interval > self.interval + 1 {
-                // Steps without any forward lie between.
+                // There were intervals without any forward in between.
                 self.overloaded_since = None;
             }
             (self.interval, self.forwards) = (interval, 0);
@@ -106,7 +114,7 @@
     }
 }
 
-/// A broken rule.
+/// A broken rule, by its number.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Violation {
     pub rule: u8,
@@ -114,23 +122,23 @@
     pub message: String,
 }
 
-/// How a hit ended for its client.
+/// Final outcome of a hit, as its client sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Outcome {
     Delivered,
     Bounced,
     Errored,
-    /// A value that was made for another hit.
+    /// The value of another hit.
     WrongValue,
 }
 
-/// What a client asked for.
+/// A hit as its client sent it.
 #[derive(Clone, Debug)]
 pub struct Request {
     pub group: usize,
     pub effect: Effect,
     pub idempotency_key: Option<String>,
-    /// For how long the client waits.
+    /// Time that the client waits for an answer.
     pub client_timeout: Span,
 }
 
@@ -138,9 +146,9 @@
     request: Request,
     sent_at: Time,
     ended: Option<(Outcome, Time)>,
-    /// The client closed its connection, or stopped waiting.
+    /// The client closed its connection or stopped waiting.
     abandoned: bool,
-    /// Forwards that came whole to a node, and those of them that were turned away unseen.
+    /// Forwards that a node received whole, and those of them that it rejected without executing.
     forwards: u32,
     rejected: u32,
     executions: u32,
@@ -155,11 +163,11 @@
 #[derive(Clone, Copy)]
 struct ListedNode {
     build: u16,
-    /// Since when it was told to drain, or that it is gone.
+    /// When the node was first reported draining or removed.
     leaving_since: Option<Time>,
 }
 
-/// A build's cap as told: the one in force, and a higher one that may still be acted on.
+/// Cap of a build as reported: the current one, and the higher one before it that may still be in use.
 #[derive(Clone, Copy)]
 struct BuildCap {
     current: f64,
@@ -167,32 +175,35 @@
     previous: f64,
 }
 
-/// Hits that ended are kept for so long, for what may still come of them.
+/// Time that hits are kept after they were sent, so that late answers and forwards are still checked.
 const HIT_RETENTION: Span = Span::millis(15_000);
-/// Broken rules kept with their texts; all are counted.
+/// Violations kept with their messages; further ones are only counted.
 const MAX_VIOLATION_TEXTS: usize = 100;
 
-/// The books of one marshal.
+/// Record of one marshal's traffic, and the rules that it broke.
 pub struct Checker {
     bounds: Bounds,
     hits: HashMap<String, Hit>,
-    /// Ids in the order they were sent, to be forgotten.
+    /// Hit ids in the order in which they were sent, for pruning.
     sent_order: VecDeque<(Time, String)>,
     nodes: HashMap<String, ListedNode>,
     warming_nodes: HashMap<String, WarmingNode>,
     caps: BTreeMap<u16, BuildCap>,
+    /// Newest build, and whether it is on trial.
     newest_build: Option<(u16, bool)>,
+    /// Cap of a build that has not been reported yet.
     initial_cap: f64,
-    /// When hits were taken lately, and when forwards went to each build on trial.
+    /// Times of the hits received, and of the forwards to each build on trial, within the last window.
     recent_hits: VecDeque<Time>,
     recent_forwards: BTreeMap<u16, VecDeque<Time>>,
+    /// When the command with each idempotency key was executed.
     executed_keys: HashMap<String, Time>,
     pub violations: Vec<Violation>,
     pub violation_count: u64,
     pub totals: Totals,
 }
 
-/// Sums over all hits.
+/// Totals over all hits.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Totals {
     pub sent: u64,
@@ -201,11 +212,12 @@
     pub errored: u64,
     pub forwards: u64,
     pub executions: u64,
-    /// No answer came by the time the client stopped waiting.
+    /// Hits that had no answer when the client stopped waiting.
     pub unanswered: u64,
 }
 
 impl Checker {
+    /// An empty record; `initial_cap` applies to builds that have not been reported yet.
     pub fn new(bounds: Bounds, initial_cap: f64) -> Self {
         Checker {
             bounds,
@@ -250,7 +262,7 @@
         self.prune_hits(now);
     }
 
-    /// A hit has come whole, also one of a client that is not in the books: caps are shares of all.
+    /// The marshal received a whole hit, possibly one that is not recorded here: a cap is a share of all hits.
     pub fn hit_received(&mut self, now: Time) {
         self.recent_hits.push_back(now);
         while self.recent_hits.front().is_some_and(|at| now - *at > self.bounds.window) {
@@ -270,7 +282,7 @@
         }
     }
 
-    /// An answer has come whole.
+    /// A client received a whole answer.
     pub fn hit_answered(&mut self, id: &str, outcome: Outcome, now: Time) {
         let Some(hit) = self.hits.get_mut(id) else { return };
         let before = hit.ended.replace((outcome, now));
@@ -309,18 +321,19 @@
         }
     }
 
-    /// The client stopped waiting, or its connection ended without an answer. `owed` where the marshal was to answer.
+    /// The client stopped waiting, or its connection ended without an answer. `answer_due` is false if the marshal
+    /// did not have to answer.
     pub fn client_left(&mut self, id: &str, answer_due: bool, now: Time) {
         let Some(hit) = self.hits.get_mut(id).filter(|h| h.ended.is_none() && !h.abandoned) else { return };
         hit.abandoned = true;
-        // A client that waited for a connection first may give up before the marshal's time is over.
+        // A client that first waited for a connection may give up before the marshal's time for the hit is over.
         if answer_due && now - hit.sent_at > hit.request.client_timeout + self.bounds.socket_slack {
             self.totals.unanswered += 1;
             self.record_violation(1, now, format!("hit {id} was never answered"));
         }
     }
 
-    /// A command has come whole to a node.
+    /// A node received a whole command.
     pub fn forward_received(&mut self, node: &str, id: &str, now: Time) {
         self.totals.forwards += 1;
         let slack = self.bounds.socket_slack;
@@ -387,14 +400,15 @@
         }
     }
 
-    /// A node turned a command away unseen.
+    /// A node rejected a command without executing it.
     pub fn forward_rejected(&mut self, id: &str) {
         if let Some(hit) = self.hits.get_mut(id) {
             hit.rejected += 1;
         }
     }
 
-    /// Is this mark known as one that ran within `memory`? If not, it is from now on.
+    /// Whether a command with this idempotency key was executed within `memory`; if not, it is recorded as executed
+    /// now.
     pub fn is_repeat(&mut self, idempotency_key: &str, memory: Span, now: Time) -> bool {
         if self.executed_keys.len() > 10_000 {
             self.executed_keys.retain(|_, at| now - *at < memory);
@@ -408,7 +422,7 @@
         }
     }
 
-    /// A command's work was done, and it was not dropped as a repeat.
+    /// A node executed a command that was not dropped as a repeat.
     pub fn command_executed(&mut self, node: &str, id: &str, now: Time) {
         self.totals.executions += 1;
         let Some(hit) = self.hits.get_mut(id) else { return };
@@ -418,16 +432,16 @@
         }
     }
 
-    /// The marshal was told of a node.
+    /// Discovery reported a node to the marshal.
     pub fn node_reported(&mut self, node: &str, build: u16, leaving: bool, now: Time) {
         let before = self.nodes.get(node).and_then(|l| l.leaving_since);
         let leaving_since = leaving.then(|| before.unwrap_or(now));
         self.nodes.insert(node.to_owned(), ListedNode { build, leaving_since });
     }
 
-    /// A node starts now, cold; warm, it can do so many commands a second.
+    /// A node starts now and is cold; `capacity` is that of the warm node, in commands a second.
     pub fn node_started(&mut self, node: &str, capacity: f64, now: Time) {
-        // Those that are warm for long are not looked at any more.
+        // Nodes that have been warm for long need no check any more.
         let ColdStart { ramp, overload_duration, .. } = self.bounds.cold_start;
         self.warming_nodes.retain(|_, warming| now - warming.started <= ramp + overload_duration * 2.0);
         let warming =
@@ -435,13 +449,13 @@
         self.warming_nodes.insert(node.to_owned(), warming);
     }
 
-    /// The marshal was told where the newest build stands.
+    /// The platform reported the state of the newest build to the marshal.
     pub fn build_reported(&mut self, build: u16, on_trial: bool, cap: f64, now: Time) {
         self.newest_build = Some((build, on_trial));
         let first = BuildCap { current: cap, since: now, previous: cap };
         let at = self.caps.entry(build).or_insert(first);
         if at.current != cap {
-            // A higher cap that was told just before may still be acted on.
+            // The marshal may still act on a higher cap that was reported shortly before.
             let recent = now - at.since <= self.bounds.cap_grace;
             *at = BuildCap {
                 current: cap,
@@ -452,7 +466,7 @@
         self.recent_forwards.retain(|of, _| *of >= build);
     }
 
-    /// The cap of a build on trial; none for builds that are not.
+    /// Cap of a build on trial; none for other builds.
     fn trial_cap(&self, build: u16, now: Time) -> Option<f64> {
         let (newest, on_trial) = self.newest_build?;
         if build > newest {
@@ -464,7 +478,7 @@
     }
 }
 
-/// The checker, as the stand-ins and the load share it.
+/// A checker shared by the stand-ins and the load generators.
 #[derive(Clone)]
 pub struct SharedChecker(Arc<Mutex<Checker>>);
 
@@ -477,7 +491,7 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The broken rules so far, as one text; empty where none broke.
+    /// The first ten violations, one a line; empty if there are none.
     pub fn violation_report(&self) -> String {
         let checker = self.lock();
         let lines = checker.violations.iter().take(10).map(|v| format!("rule {}: {}\n", v.rule, v.message));
--- a/crates/lab/src/discovery.rs
+++ b/crates/lab/src/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery: the whole list, and watches on its changes, over HTTP/1.1.
+//! Stand-in for discovery: the full list of nodes, and watches of its changes, over HTTP/1.1.
 
 use crate::checker::SharedChecker;
 use crate::runtime::{Clock, Listener, Runtime, Stream};
@@ -12,10 +12,10 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// An empty line comes so often where nothing changes.
+/// Interval of the empty lines on a watch without changes.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
 
-/// A node as it is listed.
+/// A node in the list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
     pub id: String,
@@ -24,7 +24,7 @@
     /// `up`, `draining` or `removed`.
     pub state: String,
     pub build: u16,
-    /// Unix time in milliseconds; zero for a long time back.
+    /// Unix time in milliseconds; 0 if the node started long ago.
     pub started_ms: u64,
 }
 
@@ -42,33 +42,35 @@
 #[derive(Default)]
 struct Inner {
     version: u64,
+    /// Entries by id, each with the version in which it changed last.
     entries: BTreeMap<String, (u64, Entry)>,
     watches: Vec<Sender<String>>,
-    /// Watches end at once, and calls fail.
+    /// Watches end at once, and requests fail.
     down: bool,
-    /// Calls are taken, and nothing is said but what is listed from then on.
+    /// Requests are accepted, but only changes published afterwards are sent.
     silent: bool,
 }
 
-/// A handle to discovery; clones are the same.
+/// Handle to discovery; clones refer to the same stand-in.
 #[derive(Clone)]
 pub struct Discovery {
     pub addr: SocketAddr,
     inner: Arc<Mutex<Inner>>,
     clock: Clock,
-    books: SharedChecker,
+    checker: SharedChecker,
     path_sender: Sender<String>,
-    /// The paths asked for.
+    /// The paths requested.
     pub requested_paths: Receiver<String>,
 }
 
 impl Discovery {
-    pub fn start(stage: &Runtime, books: SharedChecker) -> Self {
-        let (listener, addr) = stage.listen();
+    pub fn start(runtime: &Runtime, checker: SharedChecker) -> Self {
+        let (listener, addr) = runtime.listen();
         let (path_sender, requested_paths) = async_channel::bounded(1024);
         let inner = Arc::new(Mutex::new(Inner { version: 1, ..Inner::default() }));
-        let discovery = Discovery { addr, inner, clock: stage.clock, books, path_sender, requested_paths };
-        stage.spawn(discovery.clone().accept(stage.executor(), listener));
+        let discovery =
+            Discovery { addr, inner, clock: runtime.clock, checker, path_sender, requested_paths };
+        runtime.spawn(discovery.clone().accept(runtime.executor(), listener));
         discovery
     }
 
@@ -76,7 +78,7 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Lists entries, and tells the watches.
+    /// Adds or replaces entries, and sends them to all watches.
     pub fn publish(&self, entries: impl IntoIterator<Item = Entry>) {
         let mut inner = self.lock();
         inner.version += 1;
@@ -91,7 +93,7 @@
         inner.watches.retain(|watch| watch.try_send(line.clone()).is_ok());
     }
 
-    /// Changes entries that are listed already, by their ids.
+    /// Changes entries that are already listed, by id.
     pub fn update(&self, ids: &[String], change: impl Fn(&mut Entry)) {
         let known: Vec<Entry> =
             self.lock().entries.values().map(|(_, e)| e).filter(|e| ids.contains(&e.id)).cloned().collect();
@@ -103,11 +105,11 @@
 
     fn inform_checker(&self, entries: &[Entry]) {
         let now = self.clock.now();
-        let mut books = self.books.lock();
-        entries.iter().for_each(|e| books.node_reported(&e.id, e.build, e.state != "up", now));
+        let mut checker = self.checker.lock();
+        entries.iter().for_each(|e| checker.node_reported(&e.id, e.build, e.state != "up", now));
     }
 
-    /// Sends a line as it stands on all watches, or ends them where there is none.
+    /// Sends a line unchanged to all watches, or ends them if there is none.
     pub fn send_raw(&self, line: Option<String>) {
         let mut inner = self.lock();
         match line {
@@ -116,7 +118,7 @@
         }
     }
 
-    /// Goes down or comes up: while down, watches end and calls fail.
+    /// While discovery is down, watches end and requests fail.
     pub fn set_down(&self, down: bool) {
         let mut inner = self.lock();
         inner.down = down;
@@ -125,45 +127,47 @@
         }
     }
 
-    /// Neither tells a new watch how things stand nor gives signs of life.
+    /// While silent, a new watch gets neither the current list nor empty lines.
     pub fn set_silent(&self, silent: bool) {
         self.lock().silent = silent;
     }
 
+    /// Number of open watches.
     pub fn watch_count(&self) -> usize {
         self.lock().watches.iter().filter(|w| !w.is_closed()).count()
     }
 
-    /// The whole list.
+    /// The full list.
     pub fn full_list(&self) -> Value {
         self.list_since(None)
     }
 
+    /// Entries changed after a version, or the full list if there is none or it is unknown.
     fn list_since(&self, since: Option<u64>) -> Value {
         let inner = self.lock();
         let full = since.is_none_or(|since| since > inner.version);
-        let fits = |(at, e): &&(u64, Entry)| if full { e.state != "removed" } else { Some(*at) > since };
-        let servers: Vec<_> = inner.entries.values().filter(fits).map(|(_, e)| e.to_json()).collect();
+        let selected = |(at, e): &&(u64, Entry)| if full { e.state != "removed" } else { Some(*at) > since };
+        let servers: Vec<_> = inner.entries.values().filter(selected).map(|(_, e)| e.to_json()).collect();
         json!({"version": inner.version, "full": full, "servers": servers})
     }
 
-    async fn accept(self, tasks: Arc<async_executor::Executor<'static>>, listener: Listener) {
+    async fn accept(self, executor: Arc<async_executor::Executor<'static>>, listener: Listener) {
         loop {
             let Ok((stream, _)) = listener.accept().await else { continue };
             let discovery = self.clone();
-            tasks.spawn(async move { drop(discovery.serve(stream).await) }).detach();
+            executor.spawn(async move { drop(discovery.serve(stream).await) }).detach();
         }
     }
 
     async fn serve(&self, mut stream: Stream) -> std::io::Result<()> {
         let mut head = Vec::new();
-        let mut byte = [0; 1024];
+        let mut scratch = [0; 1024];
         while !head.ends_with(b"\r\n\r\n") {
-            let n = stream.read(&mut byte).await?;
-            if n == 0 || head.len() > 8192 {
+            let count = stream.read(&mut scratch).await?;
+            if count == 0 || head.len() > 8192 {
                 return Ok(());
             }
-            head.extend_from_slice(&byte[..n]);
+            head.extend_from_slice(&scratch[..count]);
         }
         let head = String::from_utf8_lossy(&head).into_owned();
         let path = head.split(' ').nth(1).unwrap_or_default().to_owned();
@@ -178,21 +182,21 @@
             return stream.write_all(b"0\r\n\r\n").await;
         }
         let since = path.split("since=").nth(1).and_then(|v| v.split('&').next()?.parse().ok());
-        let (send, lines) = async_channel::bounded(4096);
+        let (line_sender, lines) = async_channel::bounded(4096);
         let first = self.list_since(since);
-        self.lock().watches.push(send);
+        self.lock().watches.push(line_sender);
         if !self.lock().silent {
             stream.write_all(&chunk(&first.to_string())).await?;
         }
         loop {
             let next = async { Some(lines.recv().await) };
-            let beat = async {
+            let heartbeat = async {
                 Timer::after(HEARTBEAT_INTERVAL).await;
                 None
             };
-            let line = match or(next, beat).await {
+            let line = match or(next, heartbeat).await {
                 Some(Ok(line)) => line,
-                // It is ended: without the last chunk, as when discovery goes down.
+                // The watch was ended: no last chunk is sent, as if discovery had gone down.
                 Some(Err(_)) => return Ok(()),
                 None if self.lock().silent => continue,
                 None => String::new(),
--- a/crates/lab/src/faults.rs
+++ b/crates/lab/src/faults.rs
@@ -1,42 +1,52 @@
-//! A timetable of troubles: each cycle brings every kind once, in an order drawn from a seed.
+//! Schedule of faults for long runs: each cycle has every kind once, in an order drawn from a seed.
 
 use rand::SeedableRng;
 use rand::seq::SliceRandom;
 use rand_pcg::Pcg64Mcg;
 use std::time::Duration;
 
-/// What one phase of a run brings.
+/// The fault in one phase of a run. Scenario files name it by its variant in lower case.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Fault {
+    /// No fault.
     Calm,
-    /// Half of the nodes say nothing; all of them.
+    /// Half of the nodes do not reply.
     Silent,
+    /// No node replies.
     AllSilent,
-    /// Every answer takes eight times as long.
+    /// Work takes eight times as long.
     Slow,
+    /// Half of the nodes reset connections.
     Resets,
-    /// A tenth of the answers can't be read.
+    /// A tenth of the replies cannot be read.
     Spoilt,
-    /// One node takes connections and never reads.
+    /// One node accepts connections and never reads.
     Deaf,
-    /// Values of 60 KB.
+    /// Values of 60 kB.
     LargeValues,
-    /// Nodes die and come back, one after the other.
+    /// Nodes restart, one after the other.
     Restarts,
-    /// Clients: floods of large bodies, none that read, half commands, mute ones, leavers, those that ask once.
+    /// Clients send hits with large bodies as fast as they are answered.
     Flood,
+    /// Clients never read their answers.
     NeverRead,
+    /// Clients leave out the last byte of a command.
     Half,
+    /// Clients connect and send nothing.
     Mute,
+    /// Clients send a hit and disconnect at once.
     Leave,
+    /// Clients send one hit and keep an idle connection.
     Stay,
-    /// Discovery and platform go away and come back.
+    /// Discovery and platform are down, and come back.
     Outage,
-    /// A build is offered that is good, or one that fails.
+    /// A build that works well is released.
     GoodBuild,
+    /// A build that returns errors is released.
     BadBuild,
 }
 
+/// All faults, in the order of the variants.
 pub const ALL: [Fault; 18] = [
     Fault::Calm,
     Fault::Silent,
@@ -59,16 +69,18 @@
 ];
 
 impl Fault {
+    /// Name in scenario files.
     pub fn name(self) -> String {
         format!("{self:?}").to_lowercase()
     }
 
+    /// The fault of this name.
     pub fn from_name(name: &str) -> Option<Self> {
         ALL.into_iter().find(|t| t.name() == name)
     }
 }
 
-/// Phases of equal length over cycles; the same seed gives the same timetable.
+/// Phases of equal length, in cycles; the same seed gives the same schedule.
 #[derive(Clone, Debug)]
 pub struct FaultSchedule {
     phases: Vec<Fault>,
@@ -76,21 +88,22 @@
 }
 
 impl FaultSchedule {
-    /// So many cycles over these kinds. Each phase has a calm second half.
+    /// A schedule of `cycles` cycles over these kinds. The fault of each phase is on during its first half only.
     pub fn generate(kinds: &[Fault], cycles: usize, phase_duration: Duration, seed: u64) -> Self {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut cycle = kinds.to_vec();
         cycle.shuffle(&mut rng);
-        // The same order in each, so that one cycle can be held against the next.
+        // The order is the same in all cycles, so that they can be compared.
         let phases = std::iter::repeat_n(cycle, cycles).flatten().collect();
         FaultSchedule { phases, phase_duration }
     }
 
+    /// Length of all phases together.
     pub fn duration(&self) -> Duration {
         self.phase_duration * self.phases.len() as u32
     }
 
-    /// The phase at `at`, and whether its trouble is on; none after the end.
+    /// Number of the phase, its fault, and whether the fault is on at this time; none after the end.
     pub fn phase_at(&self, elapsed: Duration) -> Option<(usize, Fault, bool)> {
         let number = (elapsed.as_nanos() / self.phase_duration.as_nanos().max(1)) as usize;
         let within = elapsed - self.phase_duration * number as u32;
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -1,5 +1,6 @@
-//! Usual clients: hits arrive by chance at a stated rate, whatever becomes of those before them (an open loop). Each
-//! is sent on an idle connection or a new one, and what is bounced is tried again as it was told to.
+//! Well-behaved clients: hits arrive as a Poisson process at a given rate, independent of the answers to earlier ones
+//! (open loop). Each is sent on an idle connection or a new one; bounced hits are retried after the delay that the
+//! marshal asked for.
 
 use crate::checker::{Outcome, Request, SharedChecker};
 use crate::runtime::{Clock, Runtime, Stream, sleep};
@@ -19,30 +20,31 @@
 use stonescale::terms::Effect;
 use stonescale::time::Span;
 
-/// What a kind of hit is and how much of the traffic it makes.
+/// A kind of hit, and its share of the traffic.
 #[derive(Clone, Debug)]
 pub struct HitKind {
     pub group: usize,
     pub share: f64,
-    /// Bytes of the body, for hits that have one.
+    /// Size of the body, for hits that have one.
     pub body_bytes: usize,
     pub client_timeout: Duration,
 }
 
 #[derive(Clone, Debug)]
+/// Parameters of a load.
 pub struct LoadPlan {
     /// Hits a second.
     pub rate: f64,
     pub kinds: Vec<HitKind>,
-    /// Connections at most; past it a hit waits for one.
+    /// Most connections; with all of them in use, a hit waits for one.
     pub max_connections: usize,
-    /// Tries of a hit that is bounced.
+    /// Most tries of a hit that is bounced.
     pub max_tries: u32,
     pub seed: u64,
 }
 
 impl LoadPlan {
-    /// Reads only, at this rate.
+    /// Only reads, at this rate in hits a second.
     pub fn reads(rate: f64, seed: u64) -> Self {
         let kind = HitKind {
             group: crate::site::READ,
@@ -53,7 +55,7 @@
         LoadPlan { rate, kinds: vec![kind], max_connections: 64, max_tries: 3, seed }
     }
 
-    /// All path groups: seven reads, two pushes and a booking of ten.
+    /// All path groups: 70 % reads, 20 % pushes, 10 % bookings.
     pub fn mixed(rate: f64, seed: u64) -> Self {
         let client_timeout = Duration::from_millis(900);
         let kind = |group, share, body_bytes| HitKind { group, share, body_bytes, client_timeout };
@@ -62,20 +64,20 @@
     }
 }
 
-/// What became of the hits of one path group; a hit's tries count as one.
+/// Outcomes of the hits of one path group; a hit counts once, whatever the number of its tries.
 #[derive(Clone, Debug)]
 pub struct GroupStats {
     pub hits: u64,
     pub delivered: u64,
-    /// Delivered within the target latency, tries and waits between them counted in.
+    /// Delivered within the target latency, including retries and the waits between them.
     pub in_time: u64,
-    /// Ended by a bounce, by an error, without an answer.
+    /// Hits that ended with a bounce, with an error, or without an answer.
     pub bounced: u64,
     pub errored: u64,
     pub unanswered: u64,
-    /// Tries in all.
+    /// Tries of all hits.
     pub tries: u64,
-    /// Time to the last byte of a delivered hit's last try, in microseconds.
+    /// Latency of the last try of delivered hits, in microseconds.
     pub latency_micros: Histogram<u64>,
 }
 
@@ -96,7 +98,7 @@
 }
 
 impl GroupStats {
-    /// Share of the hits that were delivered in time.
+    /// Share of the hits that were delivered in time, 0 to 1.
     pub fn in_time_share(&self) -> f64 {
         self.in_time as f64 / (self.hits as f64).max(1.0)
     }
@@ -122,7 +124,7 @@
     _permit: Permit,
 }
 
-/// One of the connections that may be open; given back however its holder ends, also in the middle of a wait.
+/// Permit for one open connection; released on drop, also if its task is cancelled while waiting.
 struct Permit(Arc<AtomicU64>);
 
 impl Permit {
@@ -139,19 +141,19 @@
     }
 }
 
-/// Clients that run until they are told to end; clones are handles to the same.
+/// Clients that send hits until `finish` is called; clones are handles to the same load.
 #[derive(Clone)]
 pub struct Load(Arc<Shared>);
 
 impl Load {
-    /// Clients of the marshals at `addrs`, each hit at one of them by chance.
+    /// Starts clients of the marshals at `addrs`; each hit goes to one chosen at random.
     pub fn start(
-        stage: &Runtime, checker: SharedChecker, groups: Vec<PathGroup>, addrs: Vec<SocketAddr>,
+        runtime: &Runtime, checker: SharedChecker, groups: Vec<PathGroup>, addrs: Vec<SocketAddr>,
         plan: LoadPlan,
     ) -> Self {
         let stats = Mutex::new(vec![GroupStats::default(); groups.len()]);
         let load = Load(Arc::new(Shared {
-            clock: stage.clock,
+            clock: runtime.clock,
             checker,
             groups,
             addrs,
@@ -163,23 +165,23 @@
             in_flight: AtomicU64::new(0),
             stopping: AtomicBool::new(false),
         }));
-        stage.spawn(load.clone().arrivals(stage.executor()));
+        runtime.spawn(load.clone().arrivals(runtime.executor()));
         load
     }
 
-    /// What became of the hits so far, by path group.
+    /// Outcomes so far, by path group.
     pub fn stats(&self) -> Vec<GroupStats> {
         lock(&self.0.stats).clone()
     }
 
-    /// Starts counting anew.
+    /// Outcomes since the last call, by path group; counting starts again from zero.
     pub fn take_stats(&self) -> Vec<GroupStats> {
         let mut stats = lock(&self.0.stats);
         let fresh = vec![GroupStats::default(); stats.len()];
         std::mem::replace(&mut *stats, fresh)
     }
 
-    /// No further hits; waits in a story until all are done with.
+    /// Stops sending new hits, and blocks until those in flight have ended or 20 s have passed.
     pub fn finish(&self) -> Vec<GroupStats> {
         self.0.stopping.store(true, Ordering::SeqCst);
         let limit = Duration::from_secs(20);
@@ -188,7 +190,7 @@
         self.stats()
     }
 
-    async fn arrivals(self, tasks: Arc<Executor<'static>>) {
+    async fn arrivals(self, executor: Arc<Executor<'static>>) {
         let plan = &self.0.plan;
         let mut rng = Pcg64Mcg::seed_from_u64(plan.seed);
         let Ok(interarrival) = Exp::new(plan.rate) else { return };
@@ -209,7 +211,7 @@
                 load.hit(&kind, marshal, key, idempotency_key).await;
                 load.0.in_flight.fetch_sub(1, Ordering::SeqCst);
             };
-            tasks.spawn(hit).detach();
+            executor.spawn(hit).detach();
             next += Duration::from_secs_f64(interarrival.sample(&mut rng));
             Timer::at(next).await;
         }
@@ -219,7 +221,7 @@
         change(&mut lock(&self.0.stats)[group]);
     }
 
-    /// One hit with its tries.
+    /// Sends one hit, with its retries.
     async fn hit(&self, kind: &HitKind, marshal: usize, key: u64, idempotency_key: u64) {
         let group = &self.0.groups[kind.group];
         let start = Instant::now();
@@ -255,7 +257,7 @@
         }
     }
 
-    /// One try of a hit, under an id of its own.
+    /// Sends one try of a hit, under an id of its own.
     async fn send(
         &self, kind: &HitKind, marshal: usize, key: u64, idempotency_key: u64, is_retry: bool,
     ) -> TryOutcome {
@@ -272,7 +274,7 @@
         let give_up = Timer::after(kind.client_timeout + Duration::from_millis(300));
         let mut recorded = false;
         let exchange = async {
-            // A connection that the marshal closed meanwhile: the hit goes once more, on a new one.
+            // The marshal may have closed an idle connection meanwhile; then the hit is sent again on another one.
             loop {
                 let (mut conn, fresh) = self.connection(marshal).await?;
                 if wire::write(&mut &conn.stream, &text).await.is_err() {
@@ -299,7 +301,7 @@
         let now = self.0.clock.now();
         match answer {
             Some(Some(answer)) => self.record_answer(&id, &answer),
-            // The connection ended, or there was none to be had.
+            // The connection ended, or none could be opened.
             Some(None) => {
                 self.0.checker.lock().client_left(&id, false, now);
                 TryOutcome::Unanswered
@@ -327,7 +329,7 @@
         ended
     }
 
-    /// An idle connection, or a new one; says whether it is new.
+    /// An idle connection to the marshal, or a new one, and whether it is new.
     async fn connection(&self, marshal: usize) -> Option<(Conn, bool)> {
         let permit = loop {
             let idle = {
@@ -360,7 +362,7 @@
     of.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// A hit's command, and its mark if it has one.
+/// Command of a hit, and its idempotency key if the path group is tagged.
 pub fn encode_hit(
     group: &PathGroup, id: &str, key: u64, idempotency_key: u64, kind: &HitKind, is_retry: bool,
 ) -> (Vec<u8>, Option<String>) {
--- a/crates/lab/src/misbehaving.rs
+++ b/crates/lab/src/misbehaving.rs
@@ -1,4 +1,5 @@
-//! Clients that misbehave, by the kind. None of their hits is in the books: what counts is what becomes of the others.
+//! Misbehaving clients, by kind. Their hits count as traffic but are not checked: what matters is how the other clients
+//! are served meanwhile.
 
 use crate::checker::SharedChecker;
 use crate::load::{HitKind, encode_hit};
@@ -14,38 +15,39 @@
 use std::time::Duration;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
+/// How a client misbehaves.
 pub enum Misbehavior {
-    /// Sends hits with large bodies under new marks, the next as soon as one is answered.
+    /// Sends hits with large bodies under new idempotency keys, the next one as soon as the last is answered.
     Flood,
     /// Sends hits and never reads an answer.
     NeverReads,
-    /// Sends a command with a large body but for its last byte, and waits.
+    /// Sends a command with a large body except for its last byte, and waits.
     HalfCommand,
-    /// Connects and says nothing.
+    /// Connects and sends nothing.
     Mute,
-    /// Sends a hit and leaves at once.
+    /// Sends a hit and closes the connection at once.
     LeavesAtOnce,
-    /// Asks once and keeps its connection.
+    /// Sends one hit, and keeps the connection open and idle.
     StaysIdle,
 }
 
-/// A crowd of such clients, each with a connection at a time; dropped, they leave.
+/// A group of misbehaving clients, each with one connection at a time; they stop when this is dropped.
 pub struct MisbehavingClients {
     stopping: Arc<AtomicBool>,
-    /// Hits they sent, and answers they read.
+    /// Hits sent, and answers read, by all of them.
     pub sent: Arc<AtomicU64>,
     pub answered: Arc<AtomicU64>,
 }
 
 impl MisbehavingClients {
     pub fn start(
-        stage: &Runtime, checker: &SharedChecker, misbehavior: Misbehavior, count: usize, addr: SocketAddr,
+        runtime: &Runtime, checker: &SharedChecker, misbehavior: Misbehavior, count: usize, addr: SocketAddr,
         (group, kind): (&PathGroup, &HitKind),
     ) -> Self {
         let stopping = Arc::new(AtomicBool::new(false));
         let (sent, answered) = (Arc::new(AtomicU64::new(0)), Arc::new(AtomicU64::new(0)));
         for at in 0..count {
-            let rogue = MisbehavingClient {
+            let client = MisbehavingClient {
                 misbehavior,
                 addr,
                 group: group.clone(),
@@ -55,9 +57,9 @@
                 sent: sent.clone(),
                 answered: answered.clone(),
                 checker: checker.clone(),
-                clock: stage.clock,
+                clock: runtime.clock,
             };
-            stage.spawn(rogue.run());
+            runtime.spawn(client.run());
         }
         MisbehavingClients { stopping, sent, answered }
     }
@@ -82,7 +84,7 @@
     clock: Clock,
 }
 
-/// Between a connection that ended and the next one, so that nobody spins.
+/// Pause before a client reconnects, so that failing connections do not cause a busy loop.
 const RECONNECT_DELAY: Duration = Duration::from_millis(20);
 
 impl MisbehavingClient {
@@ -148,7 +150,7 @@
         }
     }
 
-    /// Waits, and reads what comes, until the other side closes.
+    /// Reads and discards until the other side closes.
     async fn until_closed(&self, mut stream: &Stream) -> std::io::Result<()> {
         let mut scratch = [0; 1024];
         while stream.read(&mut scratch).await? > 0 {}
--- a/crates/lab/src/node.rs
+++ b/crates/lab/src/node.rs
@@ -1,5 +1,5 @@
-//! A node: takes commands in order on each connection, works on them with its cores, answers after its manner, and
-//! has moods. It notes what it was sent and what ran.
+//! Stand-in for a node: it executes the commands of each connection in order on a limited number of cores, replies
+//! according to its behavior and fault mode, and records what it received and executed.
 
 use crate::checker::SharedChecker;
 use crate::runtime::{Clock, Listener, Runtime, Stream};
@@ -16,57 +16,56 @@
 use std::time::{Duration, Instant};
 use stonescale::time::Span;
 
-/// What a node does with one command, in a story.
+/// Scripted reply to one command, for tests.
 #[derive(Clone, Debug)]
 pub enum ScriptedReply {
-    /// Says this, as it stands.
+    /// Sends these bytes unchanged.
     Send(Vec<u8>),
     SendAndClose(Vec<u8>),
-    /// Serves it, and says something more a moment later.
+    /// Executes the command, and sends these bytes 1 ms after the reply.
     ServeThenSend(Vec<u8>),
-    /// Serves it only once another command has come, on whatever connection.
+    /// Executes the command, but replies only once another command has arrived, on any connection.
     ServeAfterNextCommand,
     NoReply,
 }
 
-/// How a node takes what comes.
+/// How a node handles connections and commands.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum FaultMode {
-    /// Works by its manner.
+    /// Replies according to its behavior.
     #[default]
     Healthy,
-    /// Takes commands and says nothing.
+    /// Reads commands and never replies.
     Silent,
-    /// Works, and keeps the last byte of each answer until it is in another mood.
+    /// Replies, but withholds the last byte of each reply until the mode changes.
     WithholdingLastByte,
-    /// Takes connections and never reads.
+    /// Accepts connections and never reads.
     NotReading,
-    /// Resets every connection once a command came.
+    /// Executes each command, and resets its connection.
     Resetting,
-    /// Resets every connection as it comes.
+    /// Resets every connection on accept.
     Refusing,
 }
 
-/// How a node works while it is well.
+/// How a healthy node works and replies.
 #[derive(Clone, Debug)]
 pub struct NodeBehavior {
-    /// Commands worked on at once.
+    /// Commands executed at once.
     pub cores: usize,
-    /// Work of a command: its median, and the sigma of its logarithm.
+    /// Work of a command: median and sigma of a log-normal distribution.
     pub work_median: Duration,
     pub work_sigma: f64,
-    /// Bytes of a value.
+    /// Size of a value.
     pub value_bytes: usize,
-    /// Shares of the commands that fail, that are answered with what can't be read, and that are answered wrongly
-    /// (with a value that was made for another).
+    /// Shares of the commands that get an error, an unreadable reply, or the value of another hit.
     pub error_rate: f64,
     pub malformed_rate: f64,
     pub wrong_value_rate: f64,
-    /// More work for everything.
+    /// Factor on the work of each command.
     pub work_factor: f64,
-    /// Only this path group fails or drags, if one is named.
+    /// If set, only this path group has errors, wrong values and the work factor.
     pub affected_group: Option<String>,
-    /// For so long a mark is remembered.
+    /// Time that the idempotency key of a tagged hit is remembered.
     pub dedup_memory: Duration,
 }
 
@@ -87,13 +86,13 @@
     }
 }
 
-/// An answer that is still to go out.
+/// A reply that has not been sent yet.
 struct PendingReply {
     at: Instant,
     text: Vec<u8>,
-    /// The connection ends behind it.
+    /// Whether the connection is closed after it.
     close: bool,
-    /// It waits until so many commands were taken.
+    /// Number of commands the node must have received before the reply is sent.
     after: u64,
 }
 
@@ -108,74 +107,75 @@
     behavior: NodeBehavior,
     script: VecDeque<ScriptedReply>,
     rng: Pcg64Mcg,
-    /// When each core is free.
+    /// Time at which each core becomes free.
     core_free_at: Vec<Instant>,
-    taken: u64,
+    commands_received: u64,
     connections: usize,
-    /// Rises when the process dies: connections of an earlier one end.
+    /// Number of restarts: connections of an earlier process end.
     incarnation: u64,
 }
 
-/// A handle to a node; clones are the same.
+/// Handle to a node; clones refer to the same node.
 #[derive(Clone)]
 pub struct Node {
     pub name: String,
     pub addr: SocketAddr,
     inner: Arc<Mutex<Inner>>,
     clock: Clock,
-    books: SharedChecker,
+    checker: SharedChecker,
     received_sender: Sender<Vec<String>>,
-    /// What it was sent: the words of each command, and an empty row for each connection that ended.
+    /// The words of each command received, and an empty list for each connection that ended.
     pub received: Receiver<Vec<String>>,
     restart_notifier: Sender<()>,
     restarted: Receiver<()>,
-    /// Closed, it takes no more connections.
-    end: Sender<()>,
+    /// Closing it stops the accept loop.
+    stop_sender: Sender<()>,
 }
 
-/// The load report of an answer, by the protocol page.
+/// Load report in each reply, as in the protocol page.
 const LOAD_REPORT: &str = "inflight=7,queue=2,util=0.61";
-/// An answer that will not come, nor any behind it on its connection: answers keep their commands' order.
+/// Delay of a reply that is never sent. Nothing behind it on its connection is sent either, as replies keep the order
+/// of their commands.
 const NEVER_SENT_DELAY: Duration = Duration::from_secs(86_400);
-/// Commands noted for a story; what goes past it is forgotten.
+/// Entries of `received` that are kept; further ones are dropped.
 const MAX_QUEUED_EVENTS: usize = 4096;
 
 impl Node {
     pub fn start(
-        stage: &Runtime, name: &str, seed: u64, behavior: NodeBehavior, books: SharedChecker,
+        runtime: &Runtime, name: &str, seed: u64, behavior: NodeBehavior, checker: SharedChecker,
     ) -> Self {
-        let (listener, addr) = stage.listen();
+        let (listener, addr) = runtime.listen();
         let (received_sender, received) = async_channel::bounded(MAX_QUEUED_EVENTS);
         let (restart_notifier, restarted) = async_channel::bounded(1);
-        let (end, ended) = async_channel::bounded(1);
-        let cores = vec![Instant::now(); behavior.cores.max(1)];
+        let (stop_sender, stopped) = async_channel::bounded(1);
+        let core_free_at = vec![Instant::now(); behavior.cores.max(1)];
         let inner = Inner {
             fault_mode: FaultMode::default(),
             behavior,
             script: VecDeque::new(),
             rng: Pcg64Mcg::seed_from_u64(seed),
-            core_free_at: cores,
-            taken: 0,
+            core_free_at,
+            commands_received: 0,
             connections: 0,
             incarnation: 0,
         };
         let inner = Arc::new(Mutex::new(inner));
-        let clock = stage.clock;
+        let clock = runtime.clock;
         let node = Node {
             name: name.to_owned(),
             addr,
             inner,
             clock,
-            books,
+            checker,
             received_sender,
             received,
             restart_notifier,
             restarted,
-            end,
+            stop_sender,
         };
-        let accept = node.clone().accept(stage.executor(), listener);
-        stage.spawn(or(accept, async move {
-            let _ = ended.recv().await;
+        let accept = node.clone().accept(runtime.executor(), listener);
+        runtime.spawn(or(accept, async move {
+            let _ = stopped.recv().await;
         }));
         node
     }
@@ -191,16 +191,16 @@
     pub fn update_behavior(&self, change: impl FnOnce(&mut NodeBehavior)) {
         let mut inner = self.lock();
         change(&mut inner.behavior);
-        // What waited for a core is not waited for any more.
+        // The backlog of the cores is cleared, so that the new behavior applies at once.
         inner.core_free_at = vec![Instant::now(); inner.behavior.cores.max(1)];
     }
 
-    /// What it does with its next commands, before its manner counts again.
+    /// Replies to the next commands, ahead of what the behavior gives.
     pub fn script(&self, replies: impl IntoIterator<Item = ScriptedReply>) {
         self.lock().script.extend(replies);
     }
 
-    /// Its process dies and comes back: all connections end.
+    /// Restarts the process: all connections end.
     pub fn restart(&self) {
         let mut inner = self.lock();
         inner.incarnation += 1;
@@ -209,22 +209,22 @@
         let _ = self.restart_notifier.try_send(());
     }
 
-    /// Its process ends for good.
+    /// Stops the node for good.
     pub fn stop(&self) {
         self.restart();
-        self.end.close();
+        self.stop_sender.close();
     }
 
     pub fn connections(&self) -> usize {
         self.lock().connections
     }
 
-    /// Commands that came whole.
+    /// Commands received whole.
     pub fn commands_received(&self) -> u64 {
-        self.lock().taken
+        self.lock().commands_received
     }
 
-    async fn accept(self, tasks: Arc<async_executor::Executor<'static>>, listener: Listener) {
+    async fn accept(self, executor: Arc<async_executor::Executor<'static>>, listener: Listener) {
         loop {
             let Ok((stream, _)) = listener.accept().await else { continue };
             let _ = stream.get_ref().set_nodelay(true);
@@ -242,7 +242,7 @@
                 let _ = stream.get_ref().shutdown(Shutdown::Both);
                 let _ = node.received_sender.try_send(Vec::new());
             };
-            tasks.spawn(task).detach();
+            executor.spawn(task).detach();
         }
     }
 
@@ -251,7 +251,7 @@
             if self.lock().incarnation != incarnation {
                 return;
             }
-            // One waiter takes the call: others look again soon.
+            // A notification wakes only one waiter; the others check again soon.
             or(
                 async {
                     let _ = self.restarted.recv().await;
@@ -264,7 +264,7 @@
         }
     }
 
-    /// One connection: commands are begun as they come, and answered in their order.
+    /// Serves one connection: commands start as they arrive, and replies keep their order.
     async fn serve(&self, stream: &Arc<Stream>) {
         let mut messages = MessageReader::default();
         let mut pending_replies: VecDeque<PendingReply> = VecDeque::new();
@@ -276,15 +276,15 @@
                 Timer::after(Duration::from_millis(10)).await;
             }
             if paused_reading {
-                // When what is unread was sent can't be told any more: for the books it never came.
+                // It is unknown when the unread commands were sent, so they must not reach the checker as received
+                // now.
                 return;
             }
-            // A command was passed over on it: answers behind that would be taken for its own.
+            // A command on this connection was left without a reply: the client would pair the next reply with it.
             if skipped_reply && self.lock().fault_mode != FaultMode::Silent {
                 return;
             }
-            let due =
-                pending_replies.front().map(|pending_replies| (pending_replies.at, pending_replies.after));
+            let due = pending_replies.front().map(|reply| (reply.at, reply.after));
             let next = async { Some(messages.next(&mut &**stream).await) };
             let answer = async {
                 match due {
@@ -333,7 +333,7 @@
         }
     }
 
-    /// Takes one command; false where the connection is to be reset.
+    /// Handles one command; false if the connection is to be reset.
     async fn receive_command(
         &self, words: Vec<String>, pending_replies: &mut VecDeque<PendingReply>,
     ) -> bool {
@@ -341,12 +341,12 @@
         let id = words.get(2).cloned().unwrap_or_default();
         let fields = words.get(3).cloned().unwrap_or_default();
         let idempotency_key = list_value(&fields, "k").map(str::to_owned);
-        let (scripted, fault_mode, taken) = {
+        let (scripted, fault_mode, command_number) = {
             let mut inner = self.lock();
-            inner.taken += 1;
-            (inner.script.pop_front(), inner.fault_mode, inner.taken)
+            inner.commands_received += 1;
+            (inner.script.pop_front(), inner.fault_mode, inner.commands_received)
         };
-        self.books.lock().forward_received(&self.name, &id, self.clock.now());
+        self.checker.lock().forward_received(&self.name, &id, self.clock.now());
         let _ = self.received_sender.try_send(words);
         match (scripted, fault_mode) {
             (_, FaultMode::Resetting) => {
@@ -359,7 +359,7 @@
             (None, FaultMode::Silent | FaultMode::NotReading | FaultMode::Refusing) => {}
             (Some(ScriptedReply::Send(text)), _) => {
                 if text.starts_with(b"-BUSY") {
-                    self.books.lock().forward_rejected(&id);
+                    self.checker.lock().forward_rejected(&id);
                 }
                 pending_replies.push_back(PendingReply::at(now, text));
             }
@@ -374,14 +374,14 @@
             (Some(ScriptedReply::ServeAfterNextCommand), _) => {
                 self.record_execution(&id, idempotency_key.as_deref());
                 pending_replies.push_back(PendingReply {
-                    after: taken + 1,
+                    after: command_number + 1,
                     ..PendingReply::at(now, value_reply(&id, 7))
                 });
             }
             (None, FaultMode::Healthy | FaultMode::WithholdingLastByte) => {
                 let (ready_at, text) = self.draw_reply(&id, &fields);
                 self.record_execution(&id, idempotency_key.as_deref());
-                // Answers go out in the commands' order.
+                // Replies go out in the order of their commands.
                 let ready_at = pending_replies.back().map_or(ready_at, |last| ready_at.max(last.at));
                 pending_replies.push_back(PendingReply::at(ready_at, text));
             }
@@ -389,7 +389,7 @@
         true
     }
 
-    /// Draws what becomes of a command, and when.
+    /// Draws the reply to a command, and the time at which it is ready.
     fn draw_reply(&self, id: &str, fields: &str) -> (Instant, Vec<u8>) {
         let mut inner = self.lock();
         let Inner { behavior, rng, core_free_at, .. } = &mut *inner;
@@ -418,19 +418,19 @@
         (ready_at, text)
     }
 
-    /// Notes that a command's work was done, unless it is known as a repeat.
+    /// Records an execution with the checker, unless the command is a repeat.
     fn record_execution(&self, id: &str, idempotency_key: Option<&str>) {
         let now = self.clock.now();
         let memory = Span::nanos(self.lock().behavior.dedup_memory.as_nanos() as u64);
-        let mut books = self.books.lock();
-        // All nodes together drop repeats.
-        if !idempotency_key.is_some_and(|idempotency_key| books.is_repeat(idempotency_key, memory, now)) {
-            books.command_executed(&self.name, id, now);
+        let mut checker = self.checker.lock();
+        // Repeats are dropped across all nodes together.
+        if !idempotency_key.is_some_and(|idempotency_key| checker.is_repeat(idempotency_key, memory, now)) {
+            checker.command_executed(&self.name, id, now);
         }
     }
 }
 
-/// A value made for one hit: its own id stands in it, so that a client can tell.
+/// A reply with a value that begins with the hit's id, so that the client can tell whose value it is.
 fn value_reply(id: &str, size: usize) -> Vec<u8> {
     let mut text = id.as_bytes().to_vec();
     text.resize(size.max(text.len()), b'.');
@@ -441,7 +441,7 @@
     out
 }
 
-/// One of the ways in which an answer can be spoilt.
+/// An unreadable reply, of a kind drawn at random.
 fn malformed_reply(rng: &mut Pcg64Mcg) -> Vec<u8> {
     let kinds: [&[u8]; 5] = [
         b"\x00\x17noise\xff\xff\r\n",
@@ -453,9 +453,9 @@
     kinds[rng.random_range(0..kinds.len())].to_vec()
 }
 
-/// Ends a connection with a reset.
+/// Resets a connection.
 fn reset(stream: Stream) {
-    // Unread bytes would do it as well; a linger of nothing does it always.
+    // Unread data would cause a reset as well, but a linger time of zero always does.
     let _ = set_zero_linger(&stream);
     drop(stream);
 }
@@ -464,7 +464,7 @@
     let _ = set_zero_linger(stream);
 }
 
-/// Closing resets from now on: with nothing lingering, what is unsent is dropped.
+/// Makes closing the socket reset the connection and drop unsent data.
 fn set_zero_linger(stream: &Stream) -> std::io::Result<()> {
     rustix::net::sockopt::set_socket_linger(stream.get_ref(), Some(Duration::ZERO)).map_err(Into::into)
 }
--- a/crates/lab/src/platform.rs
+++ b/crates/lab/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform: tells where the newest build stands, takes votes.
+//! Stand-in for the platform: reports the state of the newest build and accepts votes, as JSON-RPC lines.
 
 use crate::checker::SharedChecker;
 use crate::runtime::{Clock, Listener, Runtime, Stream};
@@ -11,18 +11,20 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// A sign of life comes so often.
+/// Interval of ping notifications.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
-/// A line of so many bytes ends the connection.
+/// A line of this length ends the connection.
 const MAX_LINE_BYTES: usize = 8 * 1024;
 
-/// Where the newest build stands.
+/// State of the newest build.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BuildStatus {
     pub build: u16,
+    /// Number of the stage, from 0.
     pub stage: u8,
     /// `testing`, `recalling`, `live` or `recalled`.
     pub phase: &'static str,
+    /// Most share of the hits that the build may get, 0 to 1.
     pub cap: f64,
 }
 
@@ -40,7 +42,7 @@
     }
 }
 
-/// A vote that was taken.
+/// A vote that was accepted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Vote {
     pub build: u64,
@@ -53,35 +55,35 @@
     since: Instant,
     subscribers: Vec<Sender<String>>,
     votes: Vec<(Instant, Vote)>,
-    /// Calls stand unanswered, and no sign of life comes.
+    /// Calls are not answered, and pings are not sent.
     silent: bool,
-    /// Rises when all connections are to end.
+    /// Incremented to end all connections.
     close_count: u64,
 }
 
-/// A handle to the platform; clones are the same.
+/// Handle to the platform; clones refer to the same platform.
 #[derive(Clone)]
 pub struct Platform {
     pub addr: SocketAddr,
     inner: Arc<Mutex<Inner>>,
     clock: Clock,
-    books: SharedChecker,
+    checker: SharedChecker,
     line_sender: Sender<String>,
-    /// The lines that came.
+    /// The lines received.
     pub received: Receiver<String>,
 }
 
 impl Platform {
-    pub fn start(stage: &Runtime, status: BuildStatus, books: SharedChecker) -> Self {
-        let (listener, addr) = stage.listen();
+    pub fn start(runtime: &Runtime, status: BuildStatus, checker: SharedChecker) -> Self {
+        let (listener, addr) = runtime.listen();
         let (line_sender, received) = async_channel::bounded(4096);
         let (subscribers, votes) = (Vec::new(), Vec::new());
         let inner =
             Inner { status, since: Instant::now(), subscribers, votes, silent: false, close_count: 0 };
         let inner = Arc::new(Mutex::new(inner));
-        let platform = Platform { addr, inner, clock: stage.clock, books, line_sender, received };
+        let platform = Platform { addr, inner, clock: runtime.clock, checker, line_sender, received };
         platform.inform_checker();
-        stage.spawn(platform.clone().accept(stage.executor(), listener));
+        runtime.spawn(platform.clone().accept(runtime.executor(), listener));
         platform
     }
 
@@ -91,7 +93,7 @@
 
     fn inform_checker(&self) {
         let BuildStatus { build, phase, cap, .. } = self.lock().status;
-        self.books.lock().build_reported(
+        self.checker.lock().build_reported(
             build,
             phase == "testing" || phase == "recalling",
             cap,
@@ -103,7 +105,7 @@
         self.lock().status.clone()
     }
 
-    /// The newest build stands elsewhere from now on.
+    /// Changes the state of the newest build, and notifies subscribers.
     pub fn announce(&self, status: BuildStatus) {
         {
             let mut inner = self.lock();
@@ -115,11 +117,12 @@
         inner.subscribers.retain(|subscriber| subscriber.try_send(line.clone()).is_ok());
     }
 
-    /// Sends a line as it stands to all that subscribed.
+    /// Sends a line unchanged to all subscribers.
     pub fn send_raw(&self, line: &str) {
         self.lock().subscribers.retain(|subscriber| subscriber.try_send(line.to_owned()).is_ok());
     }
 
+    /// While silent, calls are not answered and pings are not sent.
     pub fn set_silent(&self, silent: bool) {
         self.lock().silent = silent;
     }
@@ -129,14 +132,15 @@
         self.lock().close_count += 1;
     }
 
-    /// The latest vote on a build that was cast since `life` ago, if any.
-    pub fn latest_vote(&self, build: u16, life: Duration) -> Option<Vote> {
+    /// The latest vote on a build that is younger than `max_age`, if any.
+    pub fn latest_vote(&self, build: u16, max_age: Duration) -> Option<Vote> {
         let inner = self.lock();
-        let fits = |(at, vote): &&(Instant, Vote)| vote.build == u64::from(build) && at.elapsed() < life;
-        inner.votes.iter().rev().find(fits).map(|(_, vote)| vote.clone())
+        let matches =
+            |(at, vote): &&(Instant, Vote)| vote.build == u64::from(build) && at.elapsed() < max_age;
+        inner.votes.iter().rev().find(matches).map(|(_, vote)| vote.clone())
     }
 
-    async fn accept(self, tasks: Arc<async_executor::Executor<'static>>, listener: Listener) {
+    async fn accept(self, executor: Arc<async_executor::Executor<'static>>, listener: Listener) {
         loop {
             let Ok((stream, _)) = listener.accept().await else { continue };
             let platform = self.clone();
@@ -145,7 +149,7 @@
                 or(async { drop(platform.serve(&stream).await) }, platform.until_closed(close_count)).await;
                 let _ = stream.get_ref().shutdown(std::net::Shutdown::Both);
             };
-            tasks.spawn(task).detach();
+            executor.spawn(task).detach();
         }
     }
 
@@ -204,7 +208,7 @@
         }
     }
 
-    /// The answer to a call.
+    /// The answer to a call; none if it cannot be read.
     fn answer(&self, line: &[u8], subscriber: &Sender<String>) -> Option<Value> {
         let _ = self.line_sender.try_send(String::from_utf8_lossy(line).trim_end().to_owned());
         let call: Value = serde_json::from_slice(line).ok()?;
--- a/crates/lab/src/release.rs
+++ b/crates/lab/src/release.rs
@@ -1,52 +1,53 @@
-//! One release over the fleet, as the platform drives it: stages by the clock, back where a vote says so. No I/O: the
-//! time and the votes are handed in, and what is to be done comes back.
+//! State machine of one release over the fleet, as the platform drives it: stages advance with time, and a vote can
+//! roll the build back. It does no I/O: time and votes are arguments, and the actions to take are returned.
 
 use std::time::Duration;
 
-/// What is to be done next.
+/// An action that the release asks for.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Action {
-    /// Tell where the build stands: its stage, phase and cap.
+    /// Report the build's stage, phase and cap to the marshals.
     Announce(u8, &'static str, f64),
-    /// Start so many nodes of the new build.
+    /// Start this many nodes of the new build.
     StartNodes(usize),
-    /// Drain so many nodes of the earlier build.
+    /// Drain this many nodes of the earlier build.
     DrainNodes(usize),
-    /// Drain all nodes of the new build, and start so many of the earlier one.
+    /// Drain all nodes of the new build, and start this many of the earlier one.
     RollBack(usize),
-    /// What drains is gone.
+    /// Remove the nodes that are draining.
     RemoveDrained,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
     Offered,
-    /// In a stage: its nodes are starting, then carry it.
+    /// In this stage: its nodes are starting, then serving.
     Starting(usize),
     Serving(usize),
-    /// On the way back, until the earlier build's nodes are up again.
+    /// Rolled back, until the nodes of the earlier build have started.
     RollingBack,
     Live,
     Recalled,
 }
 
-/// How a release goes over a fleet.
+/// Plan of a release.
 #[derive(Clone, Debug)]
 pub struct ReleasePlan {
     pub nodes: usize,
-    /// Share of the fleet, and cap, by stage; the last is all of it.
+    /// Share of the fleet by stage, which is also the stage's cap; the last is 1.
     pub stage_shares: Vec<f64>,
-    /// How long a node takes to start, and a stage to pass.
+    /// Time that a node takes to start, and that a stage lasts after it.
     pub node_start: Duration,
     pub stage_duration: Duration,
 }
 
 #[derive(Debug)]
+/// A release under way.
 pub struct Release {
     plan: ReleasePlan,
     state: State,
     since: Duration,
-    /// Nodes of the new build started, and of the earlier one drained, so far.
+    /// Nodes of the new build started so far, and of the earlier one drained.
     started: usize,
     drained: usize,
 }
@@ -56,7 +57,7 @@
         Release { plan, state: State::Offered, since: now, started: 0, drained: 0 }
     }
 
-    /// Whether the build was released, once that is settled.
+    /// Whether the build was released (true) or rolled back (false); none while the release is under way.
     pub fn outcome(&self) -> Option<bool> {
         match self.state {
             State::Live => Some(true),
@@ -65,7 +66,7 @@
         }
     }
 
-    /// The stage it is in, for people to look at.
+    /// The current stage, for display.
     pub fn stage(&self) -> usize {
         match self.state {
             State::Starting(stage) | State::Serving(stage) => stage,
@@ -91,7 +92,8 @@
         vec![Action::Announce(stage as u8, "testing", self.cap(stage)), Action::StartNodes(additional)]
     }
 
-    /// What is to be done by `now`; `back` where a vote against the build stands, `hold` where one stops the clock.
+    /// Actions due at `now`. `stop_vote` is true while a vote against the build is valid, `hold_vote` while one holds
+    /// the stage.
     pub fn poll(&mut self, now: Duration, stop_vote: bool, hold_vote: bool) -> Vec<Action> {
         let age = now.saturating_sub(self.since);
         match self.state {
--- a/crates/lab/src/runtime.rs
+++ b/crates/lab/src/runtime.rs
@@ -1,4 +1,4 @@
-//! The thread on which stand-ins run.
+//! Thread and executor on which the stand-ins run.
 
 use async_executor::Executor;
 use async_io::Timer;
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use stonescale::time::{Span, Time};
 
-/// A clock in Unix time that runs evenly, like the marshal's own.
+/// Unix time that advances monotonically, like the marshal's own clock.
 #[derive(Clone, Copy)]
 pub struct Clock {
     start: Instant,
@@ -28,20 +28,22 @@
         Time::at((self.unix + self.start.elapsed()).as_nanos() as u64)
     }
 
-    /// Time since the stage was set up.
+    /// Time since the runtime was started.
     pub fn elapsed(&self) -> Duration {
         self.start.elapsed()
     }
 }
 
-/// A listener at a free port of the loopback address.
+/// A listener on the loopback address.
 pub type Listener = async_io::Async<TcpListener>;
+/// A TCP connection.
 pub type Stream = async_io::Async<TcpStream>;
 
+/// Executor with one thread of its own; dropping it stops the thread.
 pub struct Runtime {
     executor: Arc<Executor<'static>>,
     pub clock: Clock,
-    /// Closed, it ends the thread.
+    /// Closing it stops the thread.
     _shutdown: async_channel::Sender<()>,
     thread: Option<JoinHandle<()>>,
 }
@@ -49,23 +51,23 @@
 impl Default for Runtime {
     fn default() -> Self {
         let executor = Arc::new(Executor::new());
-        let (end, ended) = async_channel::bounded(1);
+        let (shutdown, stopped) = async_channel::bounded(1);
         let running = executor.clone();
         let run = move || {
-            let _ = async_io::block_on(running.run(ended.recv()));
+            let _ = async_io::block_on(running.run(stopped.recv()));
         };
         let thread = std::thread::Builder::new().name("stand-ins".into()).spawn(run).ok();
-        Runtime { executor, clock: Clock::start(), _shutdown: end, thread }
+        Runtime { executor, clock: Clock::start(), _shutdown: shutdown, thread }
     }
 }
 
 impl Runtime {
-    /// Runs a task until the stage is taken down.
+    /// Runs a task in the background, until the runtime is dropped.
     pub fn spawn(&self, task: impl Future<Output = ()> + Send + 'static) {
         self.executor.spawn(task).detach();
     }
 
-    /// Runs a task whose result is waited for elsewhere; dropped, it ends.
+    /// Runs a task, and returns a handle to its result; dropping the handle cancels the task.
     pub fn spawn_with_result<T: Send + 'static>(
         &self, task: impl Future<Output = T> + Send + 'static,
     ) -> async_executor::Task<T> {
@@ -76,13 +78,13 @@
         self.executor.clone()
     }
 
-    /// A free port.
+    /// Listens on a free port of the loopback address.
     pub fn listen(&self) -> (Listener, SocketAddr) {
         listen_at((Ipv4Addr::LOCALHOST, 0).into()).expect("a loopback port")
     }
 }
 
-/// Listens at an address; a port of zero stands for a free one.
+/// Listens on an address; port 0 stands for any free port.
 pub fn listen_at(addr: SocketAddr) -> std::io::Result<(Listener, SocketAddr)> {
     let listener = Listener::bind(addr)?;
     let addr = listener.get_ref().local_addr()?;
@@ -98,12 +100,12 @@
     }
 }
 
-/// Waits on the stage.
+/// Suspends a task for this long.
 pub async fn sleep(span: Span) {
     Timer::after(Duration::from_nanos(span.as_nanos())).await;
 }
 
-/// Waits in a story until something holds; false where it does not come to hold in time.
+/// Blocks the calling thread until the condition holds; false if it does not within `limit`.
 pub fn wait_until(limit: Duration, mut condition: impl FnMut() -> bool) -> bool {
     let start = Instant::now();
     while !condition() {
@@ -115,7 +117,7 @@
     true
 }
 
-/// Waits in a story for the next of what a stand-in tells; none where nothing comes in time.
+/// Blocks the calling thread until the channel's next entry; none if there is none within `limit`.
 pub fn next_within<T>(receiver: &async_channel::Receiver<T>, limit: Duration) -> Option<T> {
     let timeout = async {
         Timer::after(limit).await;
--- a/crates/lab/src/site.rs
+++ b/crates/lab/src/site.rs
@@ -6,23 +6,28 @@
 use stonescale::terms::{Effect, Scope};
 use stonescale::time::Span;
 
-/// A path group as its hits are sent.
+/// A path group, as clients send its hits.
 #[derive(Clone, Debug)]
 pub struct PathGroup {
     pub name: &'static str,
     pub effect: Effect,
+    /// Target latency.
     pub latency_target: Duration,
+    /// Benefit of a hit that is delivered in time.
     pub benefit: f64,
 }
 
-/// How long a tagged hit's mark is remembered here.
+/// Time that the idempotency key of a tagged hit is remembered at this site.
 pub const DEDUP_MEMORY: Duration = Duration::from_millis(3_000);
 
+/// Index of the repeatable path group in `groups`.
 pub const READ: usize = 0;
+/// Index of the tagged path group in `groups`.
 pub const PUSH: usize = 1;
+/// Index of the mutating path group in `groups`.
 pub const BOOK: usize = 2;
 
-/// One path group of each kind, by their constants.
+/// One path group of each kind, in the order of the constants above.
 pub fn groups() -> Vec<PathGroup> {
     let tagged = Effect::Tagged { scope: Scope::All, memory: Span::millis(DEDUP_MEMORY.as_millis() as u64) };
     let group = |name, effect, benefit| PathGroup {
@@ -38,7 +43,7 @@
     ]
 }
 
-/// The settings object of the site.
+/// The settings of the site, as JSON.
 pub fn settings() -> Value {
     let class = |group: PathGroup| {
         let effect = match group.effect {
@@ -64,7 +69,7 @@
             "vote_stands_ns": 4_000_000_000u64}})
 }
 
-/// Limits of a marshal's process.
+/// Limits of a marshal's process: memory in MiB, and open sockets.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     pub memory_mb: usize,
@@ -77,7 +82,7 @@
     }
 }
 
-/// A marshal's configuration.
+/// Configuration of a marshal, as JSON.
 pub fn config(
     limits: Limits, discovery: SocketAddr, platform: SocketAddr, build_status: &Value, known: &Value,
 ) -> Value {
--- a/crates/lab/src/wire.rs
+++ b/crates/lab/src/wire.rs
@@ -1,25 +1,25 @@
-//! Reading and writing messages on the stand-ins' side.
+//! Reads and writes RESP messages for the stand-ins.
 
 use crate::runtime::Stream;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use std::io;
 use stonescale_formats::resp::{Bounds, Kind, Scanner, write_bulk};
 
-/// As much as the protocol page allows, and some more: what is too much is for the other side to find.
+/// Larger than the limits of the protocol page, so that it is the other side that finds a message too large.
 const READ_LIMITS: Bounds = Bounds { parts: 32, bulk: 1 << 20, line: 4096, whole: 2 << 20 };
 
-/// A message as it was read.
+/// A message as received.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Message {
-    /// An array of bulk strings; a null one is empty.
+    /// An array of bulk strings; a null string is empty.
     Array(Vec<Vec<u8>>),
     Bulk(Vec<u8>),
     Null,
-    /// A line with its sign.
+    /// A simple string or an error line, with its leading sign.
     Line(String),
 }
 
-/// The messages that come on one connection.
+/// Reads the messages of one connection.
 pub struct MessageReader {
     buffer: Vec<u8>,
     scanner: Scanner,
@@ -37,7 +37,7 @@
 }
 
 impl MessageReader {
-    /// The next message; none at the connection's end, an error where it broke or its framing is lost.
+    /// The next message; none at the end of the connection, an error if the connection or its framing is broken.
     pub async fn next(&mut self, stream: &mut &Stream) -> io::Result<Option<Message>> {
         loop {
             if let Some(message) = self.parse_buffered()? {
@@ -50,7 +50,7 @@
         }
     }
 
-    /// A message that has come already.
+    /// A message that is already whole in the buffer, if there is one.
     pub fn parse_buffered(&mut self) -> io::Result<Option<Message>> {
         if self.buffer.is_empty() {
             return Ok(None);
@@ -73,19 +73,19 @@
     }
 }
 
-/// A command of bulk strings.
+/// A command as an array of bulk strings.
 pub fn encode_command(words: &[&[u8]]) -> Vec<u8> {
     let mut out = format!("*{}\r\n", words.len()).into_bytes();
     words.iter().for_each(|word| write_bulk(&mut out, word));
     out
 }
 
-/// Writes all of it.
+/// Writes all bytes.
 pub async fn write(stream: &mut &Stream, bytes: &[u8]) -> io::Result<()> {
     stream.write_all(bytes).await
 }
 
-/// A value of the list `c=read,t=acme,d=480`.
+/// Value of a field in a list such as `c=read,t=acme,d=480`.
 pub fn list_value<'a>(list: &'a str, name: &str) -> Option<&'a str> {
     list.split(',').find_map(|item| item.split_once('=').filter(|(n, _)| *n == name).map(|(_, value)| value))
 }
