--- a/crates/lab/src/checker.rs
+++ b/crates/lab/src/checker.rs
@@ -354,16 +354,22 @@
                 );
             }
             if may_have_run && effect == Effect::Mutating {
-                self.record_violation(2, now, format!("mutating hit {id} was sent to {node} although an earlier forward may have been executed"));
+                self.record_violation(
+                    2,
+                    now,
+                    format!(
+                        "mutating hit {id} was sent to {node} after a forward that may have been executed"
+                    ),
+                );
             }
         }
         let cold = self.bounds.cold_start;
         if self.warming_nodes.get_mut(node).is_some_and(|warming| warming.record_forward(&cold, now)) {
-            let lasts = cold.overload_duration.seconds();
+            let duration = cold.overload_duration.seconds();
             self.record_violation(
                 4,
                 now,
-                format!("{node} was overloaded for {lasts:.1} s, beginning while it was cold"),
+                format!("{node} was overloaded for {duration:.1} s, beginning while it was cold"),
             );
         }
         let Some(listed) = self.nodes.get(node).copied() else { return };
--- a/crates/lab/src/discovery.rs
+++ b/crates/lab/src/discovery.rs
@@ -29,10 +29,12 @@
 }
 
 impl Entry {
+    /// A node that is up and started long ago, in zone `a`.
     pub fn up(id: &str, addr: SocketAddr, build: u16) -> Self {
         Entry { id: id.into(), addr, zone: "a".into(), state: "up".into(), build, started_ms: 0 }
     }
 
+    /// The node as an element of `servers`.
     pub fn to_json(&self) -> Value {
         json!({"id": self.id, "addr": self.addr, "zone": self.zone, "kind": "m", "cell": 0, "state": self.state,
             "weight": 1.0, "started_ms": self.started_ms, "image_id": self.build})
@@ -103,6 +105,7 @@
         }));
     }
 
+    /// Tells the checker which states the marshal is given.
     fn inform_checker(&self, entries: &[Entry]) {
         let now = self.clock.now();
         let mut checker = self.checker.lock();
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -118,6 +118,7 @@
     stopping: AtomicBool,
 }
 
+/// A connection that counts against the limit of the load.
 struct Conn {
     stream: Stream,
     messages: MessageReader,
@@ -241,8 +242,8 @@
                     });
                     return;
                 }
-                TryOutcome::Bounced(again) if tries < self.0.plan.max_tries => {
-                    sleep(again.unwrap_or(Span::millis(100))).await;
+                TryOutcome::Bounced(retry_after) if tries < self.0.plan.max_tries => {
+                    sleep(retry_after.unwrap_or(Span::millis(100))).await;
                 }
                 TryOutcome::Bounced(_) => self.update_stats(kind.group, |t| t.bounced += 1),
                 TryOutcome::Errored => {
@@ -320,8 +321,8 @@
             }
             Message::Bulk(_) => (Outcome::WrongValue, TryOutcome::Errored),
             Message::Line(line) if line.starts_with("-BUSY") => {
-                let again = line.split(' ').nth(1).and_then(|ms| ms.parse().ok()).map(Span::millis);
-                (Outcome::Bounced, TryOutcome::Bounced(again))
+                let retry_after = line.split(' ').nth(1).and_then(|ms| ms.parse().ok()).map(Span::millis);
+                (Outcome::Bounced, TryOutcome::Bounced(retry_after))
             }
             _ => (Outcome::Errored, TryOutcome::Errored),
         };
@@ -351,6 +352,7 @@
     }
 }
 
+/// How a try ended; a bounce with the retry-after delay, if there was one.
 enum TryOutcome {
     Delivered,
     Bounced(Option<Span>),
--- a/crates/lab/src/node.rs
+++ b/crates/lab/src/node.rs
@@ -184,10 +184,12 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
+    /// Changes the fault mode of all connections, open and new.
     pub fn set_fault_mode(&self, fault_mode: FaultMode) {
         self.lock().fault_mode = fault_mode;
     }
 
+    /// Changes the behavior for the commands that follow.
     pub fn update_behavior(&self, change: impl FnOnce(&mut NodeBehavior)) {
         let mut inner = self.lock();
         change(&mut inner.behavior);
@@ -215,6 +217,7 @@
         self.stop_sender.close();
     }
 
+    /// Open connections.
     pub fn connections(&self) -> usize {
         self.lock().connections
     }
@@ -246,6 +249,7 @@
         }
     }
 
+    /// Returns once the node has been restarted after this incarnation.
     async fn until_restart(&self, incarnation: u64) {
         loop {
             if self.lock().incarnation != incarnation {
@@ -460,6 +464,7 @@
     drop(stream);
 }
 
+/// Makes closing the connection reset it, for a connection with other holders.
 fn reset_on_close(stream: &Arc<Stream>) {
     let _ = set_zero_linger(stream);
 }
--- a/crates/lab/src/platform.rs
+++ b/crates/lab/src/platform.rs
@@ -29,14 +29,17 @@
 }
 
 impl BuildStatus {
+    /// A build that is released.
     pub fn live(build: u16) -> Self {
         BuildStatus { build, stage: 2, phase: "live", cap: 1.0 }
     }
 
+    /// A build on trial.
     pub fn testing(build: u16, stage: u8, cap: f64) -> Self {
         BuildStatus { build, stage, phase: "testing", cap }
     }
 
+    /// Parameters of a progress notification.
     pub fn to_json(&self, age_ms: u128) -> Value {
         json!({"build": self.build, "stage": self.stage, "phase": self.phase, "cap": self.cap, "age_ms": age_ms as u64})
     }
@@ -91,6 +94,7 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
+    /// Tells the checker which state the marshal is given.
     fn inform_checker(&self) {
         let BuildStatus { build, phase, cap, .. } = self.lock().status;
         self.checker.lock().build_reported(
@@ -101,6 +105,7 @@
         );
     }
 
+    /// The state of the newest build, as reported last.
     pub fn build_status(&self) -> BuildStatus {
         self.lock().status.clone()
     }
--- a/crates/lab/src/release.rs
+++ b/crates/lab/src/release.rs
@@ -20,13 +20,16 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
+    /// Not started yet.
     Offered,
     /// In this stage: its nodes are starting, then serving.
     Starting(usize),
     Serving(usize),
-    /// Rolled back, until the nodes of the earlier build have started.
+    /// Rolling back, until the nodes of the earlier build have started.
     RollingBack,
+    /// Released.
     Live,
+    /// Rolled back, and the earlier build's nodes have started.
     Recalled,
 }
 
@@ -84,6 +87,7 @@
         self.plan.stage_shares.get(stage).copied().unwrap_or(1.0)
     }
 
+    /// Starts a stage: reports it, and starts as many nodes as its share asks for.
     fn enter_stage(&mut self, stage: usize, now: Duration) -> Vec<Action> {
         let target_nodes = (self.cap(stage) * self.plan.nodes as f64).ceil() as usize;
         let additional = target_nodes.saturating_sub(self.started);
