--- /dev/null
+++ b/crates/lab/src/misbehaving.rs
@@ -0,0 +1,159 @@
+//! Misbehaving clients, by kind. Their hits count as traffic but are not checked: what matters is how the other clients
+//! are served meanwhile.
+
+use crate::checker::SharedChecker;
+use crate::load::{HitKind, encode_hit};
+use crate::runtime::{Clock, Runtime, Stream};
+use crate::site::PathGroup;
+use crate::wire::{self, MessageReader};
+use async_io::Timer;
+use futures_lite::AsyncReadExt;
+use futures_lite::future::or;
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
+use std::time::Duration;
+
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+/// How a client misbehaves.
+pub enum Misbehavior {
+    /// Sends hits with large bodies under new idempotency keys, the next one as soon as the last is answered.
+    Flood,
+    /// Sends hits and never reads an answer.
+    NeverReads,
+    /// Sends a command with a large body except for its last byte, and waits.
+    HalfCommand,
+    /// Connects and sends nothing.
+    Mute,
+    /// Sends a hit and closes the connection at once.
+    LeavesAtOnce,
+    /// Sends one hit, and keeps the connection open and idle.
+    StaysIdle,
+}
+
+/// A group of misbehaving clients, each with one connection at a time; they stop when this is dropped.
+pub struct MisbehavingClients {
+    stopping: Arc<AtomicBool>,
+    /// Hits sent, and answers read, by all of them.
+    pub sent: Arc<AtomicU64>,
+    pub answered: Arc<AtomicU64>,
+}
+
+impl MisbehavingClients {
+    pub fn start(
+        runtime: &Runtime, checker: &SharedChecker, misbehavior: Misbehavior, count: usize, addr: SocketAddr,
+        (group, kind): (&PathGroup, &HitKind),
+    ) -> Self {
+        let stopping = Arc::new(AtomicBool::new(false));
+        let (sent, answered) = (Arc::new(AtomicU64::new(0)), Arc::new(AtomicU64::new(0)));
+        for at in 0..count {
+            let client = MisbehavingClient {
+                misbehavior,
+                addr,
+                group: group.clone(),
+                kind: kind.clone(),
+                sequence: (at as u64) << 32,
+                stopping: stopping.clone(),
+                sent: sent.clone(),
+                answered: answered.clone(),
+                checker: checker.clone(),
+                clock: runtime.clock,
+            };
+            runtime.spawn(client.run());
+        }
+        MisbehavingClients { stopping, sent, answered }
+    }
+}
+
+impl Drop for MisbehavingClients {
+    fn drop(&mut self) {
+        self.stopping.store(true, Ordering::SeqCst);
+    }
+}
+
+struct MisbehavingClient {
+    misbehavior: Misbehavior,
+    addr: SocketAddr,
+    group: PathGroup,
+    kind: HitKind,
+    sequence: u64,
+    stopping: Arc<AtomicBool>,
+    sent: Arc<AtomicU64>,
+    answered: Arc<AtomicU64>,
+    checker: SharedChecker,
+    clock: Clock,
+}
+
+/// Pause before a client reconnects, so that failing connections do not cause a busy loop.
+const RECONNECT_DELAY: Duration = Duration::from_millis(20);
+
+impl MisbehavingClient {
+    async fn run(mut self) {
+        let stopping = self.stopping.clone();
+        let stopped = async {
+            while !stopping.load(Ordering::SeqCst) {
+                Timer::after(Duration::from_millis(10)).await;
+            }
+        };
+        let connect_loop = async {
+            loop {
+                if let Ok(stream) = Stream::connect(self.addr).await {
+                    let _ = self.misbehave(&stream).await;
+                }
+                Timer::after(RECONNECT_DELAY).await;
+            }
+        };
+        or(stopped, connect_loop).await;
+    }
+
+    fn command(&mut self) -> Vec<u8> {
+        self.sequence += 1;
+        self.sent.fetch_add(1, Ordering::Relaxed);
+        self.checker.lock().hit_received(self.clock.now());
+        let id = format!("f{:015x}", self.sequence);
+        encode_hit(&self.group, &id, self.sequence, self.sequence, &self.kind, false).0
+    }
+
+    async fn misbehave(&mut self, stream: &Stream) -> std::io::Result<()> {
+        let mut messages = MessageReader::default();
+        match self.misbehavior {
+            Misbehavior::Flood => loop {
+                let command = self.command();
+                wire::write(&mut &*stream, &command).await?;
+                match messages.next(&mut &*stream).await? {
+                    Some(_) => self.answered.fetch_add(1, Ordering::Relaxed),
+                    None => return Ok(()),
+                };
+            },
+            Misbehavior::NeverReads => loop {
+                let command = self.command();
+                wire::write(&mut &*stream, &command).await?;
+                Timer::after(Duration::from_millis(5)).await;
+            },
+            Misbehavior::HalfCommand => {
+                let command = self.command();
+                wire::write(&mut &*stream, &command[..command.len() - 1]).await?;
+                self.until_closed(stream).await
+            }
+            Misbehavior::Mute => self.until_closed(stream).await,
+            Misbehavior::LeavesAtOnce => {
+                let command = self.command();
+                wire::write(&mut &*stream, &command).await
+            }
+            Misbehavior::StaysIdle => {
+                let command = self.command();
+                wire::write(&mut &*stream, &command).await?;
+                messages.next(&mut &*stream).await?;
+                self.answered.fetch_add(1, Ordering::Relaxed);
+                self.until_closed(stream).await
+            }
+        }
+    }
+
+    /// Reads and discards until the other side closes.
+    async fn until_closed(&self, mut stream: &Stream) -> std::io::Result<()> {
+        let mut scratch = [0; 1024];
+        while stream.read(&mut scratch).await? > 0 {}
+        Ok(())
+    }
+}
--- a/crates/lab/src/node.rs
+++ b/crates/lab/src/node.rs
@@ -1,9 +1,9 @@
-//! A node: takes commands in order on each connection, works on them with its cores, answers after its manner, and
-//! has moods. It notes what it was sent and what ran.
+//! Stand-in for a node: it executes the commands of each connection in order on a limited number of cores, replies
+//! according to its behavior and fault mode, and records what it received and executed.
 
-use crate::checker::Books;
-use crate::stage::{Clock, Listener, Stage, Stream};
-use crate::wire::{self, Message, Messages, field};
+use crate::checker::SharedChecker;
+use crate::runtime::{Clock, Listener, Runtime, Stream};
+use crate::wire::{self, Message, MessageReader, list_value};
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
 use futures_lite::future::or;
@@ -16,154 +16,166 @@
 use std::time::{Duration, Instant};
 use stonescale::time::Span;
 
-/// What a node does with one command, in a story.
+/// Scripted reply to one command, for tests.
 #[derive(Clone, Debug)]
-pub enum Act {
-    /// Says this, as it stands.
-    Say(Vec<u8>),
-    SayAndClose(Vec<u8>),
-    /// Serves it, and says something more a moment later.
-    SayMore(Vec<u8>),
-    /// Serves it only once another command has come, on whatever connection.
-    Hold,
-    Nothing,
+pub enum ScriptedReply {
+    /// Sends these bytes unchanged.
+    Send(Vec<u8>),
+    SendAndClose(Vec<u8>),
+    /// Executes the command, and sends these bytes 1 ms after the reply.
+    ServeThenSend(Vec<u8>),
+    /// Executes the command, but replies only once another command has arrived, on any connection.
+    ServeAfterNextCommand,
+    NoReply,
 }
 
-/// How a node takes what comes.
+/// How a node handles connections and commands.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Mood {
-    /// Works by its manner.
+pub enum FaultMode {
+    /// Replies according to its behavior.
     #[default]
-    Well,
-    /// Takes commands and says nothing.
+    Healthy,
+    /// Reads commands and never replies.
     Silent,
-    /// Works, and keeps the last byte of each answer until it is in another mood.
-    Halting,
-    /// Takes connections and never reads.
-    Deaf,
-    /// Resets every connection once a command came.
+    /// Replies, but withholds the last byte of each reply until the mode changes.
+    WithholdingLastByte,
+    /// Accepts connections and never reads.
+    NotReading,
+    /// Executes each command, and resets its connection.
     Resetting,
-    /// Resets every connection as it comes.
+    /// Resets every connection on accept.
     Refusing,
 }
 
-/// How a node works while it is well.
+/// How a healthy node works and replies.
 #[derive(Clone, Debug)]
-pub struct Manner {
-    /// Commands worked on at once.
+pub struct NodeBehavior {
+    /// Commands executed at once.
     pub cores: usize,
-    /// Work of a command: its median, and the sigma of its logarithm.
-    pub work: Duration,
-    pub spread: f64,
-    /// Bytes of a value.
-    pub value: usize,
-    /// Shares of the commands that fail, that are answered with what can't be read, and that are answered wrongly
-    /// (with a value that was made for another).
-    pub fails: f64,
-    pub spoils: f64,
-    pub lies: f64,
-    /// More work for everything.
-    pub drag: f64,
-    /// Only this path group fails or drags, if one is named.
-    pub only: Option<String>,
-    /// For so long a mark is remembered.
-    pub memory: Duration,
+    /// Work of a command: median and sigma of a log-normal distribution.
+    pub work_median: Duration,
+    pub work_sigma: f64,
+    /// Size of a value.
+    pub value_bytes: usize,
+    /// Shares of the commands that get an error, an unreadable reply, or the value of another hit.
+    pub error_rate: f64,
+    pub malformed_rate: f64,
+    pub wrong_value_rate: f64,
+    /// Factor on the work of each command.
+    pub work_factor: f64,
+    /// If set, only this path group has errors, wrong values and the work factor.
+    pub affected_group: Option<String>,
+    /// Time that the idempotency key of a tagged hit is remembered.
+    pub dedup_memory: Duration,
 }
 
-impl Default for Manner {
+impl Default for NodeBehavior {
     fn default() -> Self {
-        Manner {
+        NodeBehavior {
             cores: 4,
-            work: Duration::from_millis(2),
-            spread: 0.3,
-            value: 7,
-            fails: 0.0,
-            spoils: 0.0,
-            lies: 0.0,
-            drag: 1.0,
-            only: None,
-            memory: Duration::from_millis(1_000),
+            work_median: Duration::from_millis(2),
+            work_sigma: 0.3,
+            value_bytes: 7,
+            error_rate: 0.0,
+            malformed_rate: 0.0,
+            wrong_value_rate: 0.0,
+            work_factor: 1.0,
+            affected_group: None,
+            dedup_memory: Duration::from_millis(1_000),
         }
     }
 }
 
-/// An answer that is still to go out.
-struct Owed {
+/// A reply that has not been sent yet.
+struct PendingReply {
     at: Instant,
     text: Vec<u8>,
-    /// The connection ends behind it.
+    /// Whether the connection is closed after it.
     close: bool,
-    /// It waits until so many commands were taken.
+    /// Number of commands the node must have received before the reply is sent.
     after: u64,
 }
 
-impl Owed {
+impl PendingReply {
     fn at(at: Instant, text: Vec<u8>) -> Self {
-        Owed { at, text, close: false, after: 0 }
+        PendingReply { at, text, close: false, after: 0 }
     }
 }
 
 struct Inner {
-    mood: Mood,
-    manner: Manner,
-    script: VecDeque<Act>,
-    chance: Pcg64Mcg,
-    /// When each core is free.
-    cores: Vec<Instant>,
-    taken: u64,
+    fault_mode: FaultMode,
+    behavior: NodeBehavior,
+    script: VecDeque<ScriptedReply>,
+    rng: Pcg64Mcg,
+    /// Time at which each core becomes free.
+    core_free_at: Vec<Instant>,
+    commands_received: u64,
     connections: usize,
-    /// Rises when the process dies: connections of an earlier one end.
-    life: u64,
+    /// Number of restarts: connections of an earlier process end.
+    incarnation: u64,
 }
 
-/// A handle to a node; clones are the same.
+/// Handle to a node; clones refer to the same node.
 #[derive(Clone)]
 pub struct Node {
     pub name: String,
     pub addr: SocketAddr,
     inner: Arc<Mutex<Inner>>,
     clock: Clock,
-    books: Books,
-    told: Sender<Vec<String>>,
-    /// What it was sent: the words of each command, and an empty row for each connection that ended.
-    pub heard: Receiver<Vec<String>>,
-    changed: Sender<()>,
-    change: Receiver<()>,
-    /// Closed, it takes no more connections.
-    end: Sender<()>,
+    checker: SharedChecker,
+    received_sender: Sender<Vec<String>>,
+    /// The words of each command received, and an empty list for each connection that ended.
+    pub received: Receiver<Vec<String>>,
+    restart_notifier: Sender<()>,
+    restarted: Receiver<()>,
+    /// Closing it stops the accept loop.
+    stop_sender: Sender<()>,
 }
 
-/// The load report of an answer, by the protocol page.
-const REPORT: &str = "inflight=7,queue=2,util=0.61";
-/// An answer that will not come, nor any behind it on its connection: answers keep their commands' order.
-const NEVER: Duration = Duration::from_secs(86_400);
-/// Commands noted for a story; what goes past it is forgotten.
-const HEARD: usize = 4096;
+/// Load report in each reply, as in the protocol page.
+const LOAD_REPORT: &str = "inflight=7,queue=2,util=0.61";
+/// Delay of a reply that is never sent. Nothing behind it on its connection is sent either, as replies keep the order
+/// of their commands.
+const NEVER_SENT_DELAY: Duration = Duration::from_secs(86_400);
+/// Entries of `received` that are kept; further ones are dropped.
+const MAX_QUEUED_EVENTS: usize = 4096;
 
 impl Node {
-    pub fn start(stage: &Stage, name: &str, seed: u64, manner: Manner, books: Books) -> Self {
-        let (listener, addr) = stage.listen();
-        let (told, heard) = async_channel::bounded(HEARD);
-        let (changed, change) = async_channel::bounded(1);
-        let (end, ended) = async_channel::bounded(1);
-        let cores = vec![Instant::now(); manner.cores.max(1)];
+    pub fn start(
+        runtime: &Runtime, name: &str, seed: u64, behavior: NodeBehavior, checker: SharedChecker,
+    ) -> Self {
+        let (listener, addr) = runtime.listen();
+        let (received_sender, received) = async_channel::bounded(MAX_QUEUED_EVENTS);
+        let (restart_notifier, restarted) = async_channel::bounded(1);
+        let (stop_sender, stopped) = async_channel::bounded(1);
+        let core_free_at = vec![Instant::now(); behavior.cores.max(1)];
         let inner = Inner {
-            mood: Mood::default(),
-            manner,
+            fault_mode: FaultMode::default(),
+            behavior,
             script: VecDeque::new(),
-            chance: Pcg64Mcg::seed_from_u64(seed),
-            cores,
-            taken: 0,
+            rng: Pcg64Mcg::seed_from_u64(seed),
+            core_free_at,
+            commands_received: 0,
             connections: 0,
-            life: 0,
+            incarnation: 0,
         };
         let inner = Arc::new(Mutex::new(inner));
-        let clock = stage.clock;
-        let node =
-            Node { name: name.to_owned(), addr, inner, clock, books, told, heard, changed, change, end };
-        let accept = node.clone().accept(stage.tasks(), listener);
-        stage.spawn(or(accept, async move {
-            let _ = ended.recv().await;
+        let clock = runtime.clock;
+        let node = Node {
+            name: name.to_owned(),
+            addr,
+            inner,
+            clock,
+            checker,
+            received_sender,
+            received,
+            restart_notifier,
+            restarted,
+            stop_sender,
+        };
+        let accept = node.clone().accept(runtime.executor(), listener);
+        runtime.spawn(or(accept, async move {
+            let _ = stopped.recv().await;
         }));
         node
     }
@@ -172,51 +184,54 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub fn mood(&self, mood: Mood) {
-        self.lock().mood = mood;
+    /// Changes the fault mode of all connections, open and new.
+    pub fn set_fault_mode(&self, fault_mode: FaultMode) {
+        self.lock().fault_mode = fault_mode;
     }
 
-    pub fn manner(&self, change: impl FnOnce(&mut Manner)) {
+    /// Changes the behavior for the commands that follow.
+    pub fn update_behavior(&self, change: impl FnOnce(&mut NodeBehavior)) {
         let mut inner = self.lock();
-        change(&mut inner.manner);
-        // What waited for a core is not waited for any more.
-        inner.cores = vec![Instant::now(); inner.manner.cores.max(1)];
+        change(&mut inner.behavior);
+        // The backlog of the cores is cleared, so that the new behavior applies at once.
+        inner.core_free_at = vec![Instant::now(); inner.behavior.cores.max(1)];
     }
 
-    /// What it does with its next commands, before its manner counts again.
-    pub fn script(&self, acts: impl IntoIterator<Item = Act>) {
-        self.lock().script.extend(acts);
+    /// Replies to the next commands, ahead of what the behavior gives.
+    pub fn script(&self, replies: impl IntoIterator<Item = ScriptedReply>) {
+        self.lock().script.extend(replies);
     }
 
-    /// Its process dies and comes back: all connections end.
+    /// Restarts the process: all connections end.
     pub fn restart(&self) {
         let mut inner = self.lock();
-        inner.life += 1;
-        inner.cores.fill(Instant::now());
+        inner.incarnation += 1;
+        inner.core_free_at.fill(Instant::now());
         drop(inner);
-        let _ = self.changed.try_send(());
+        let _ = self.restart_notifier.try_send(());
     }
 
-    /// Its process ends for good.
+    /// Stops the node for good.
     pub fn stop(&self) {
         self.restart();
-        self.end.close();
+        self.stop_sender.close();
     }
 
+    /// Open connections.
     pub fn connections(&self) -> usize {
         self.lock().connections
     }
 
-    /// Commands that came whole.
-    pub fn taken(&self) -> u64 {
-        self.lock().taken
+    /// Commands received whole.
+    pub fn commands_received(&self) -> u64 {
+        self.lock().commands_received
     }
 
-    async fn accept(self, tasks: Arc<async_executor::Executor<'static>>, listener: Listener) {
+    async fn accept(self, executor: Arc<async_executor::Executor<'static>>, listener: Listener) {
         loop {
             let Ok((stream, _)) = listener.accept().await else { continue };
             let _ = stream.get_ref().set_nodelay(true);
-            if self.lock().mood == Mood::Refusing {
+            if self.lock().fault_mode == FaultMode::Refusing {
                 reset(stream);
                 continue;
             }
@@ -224,25 +239,26 @@
             let node = self.clone();
             let task = async move {
                 let stream = Arc::new(stream);
-                let life = node.lock().life;
-                or(node.serve(&stream), node.dies(life)).await;
+                let incarnation = node.lock().incarnation;
+                or(node.serve(&stream), node.until_restart(incarnation)).await;
                 node.lock().connections -= 1;
                 let _ = stream.get_ref().shutdown(Shutdown::Both);
-                let _ = node.told.try_send(Vec::new());
+                let _ = node.received_sender.try_send(Vec::new());
             };
-            tasks.spawn(task).detach();
+            executor.spawn(task).detach();
         }
     }
 
-    async fn dies(&self, life: u64) {
+    /// Returns once the node has been restarted after this incarnation.
+    async fn until_restart(&self, incarnation: u64) {
         loop {
-            if self.lock().life != life {
+            if self.lock().incarnation != incarnation {
                 return;
             }
-            // One waiter takes the call: others look again soon.
+            // A notification wakes only one waiter; the others check again soon.
             or(
                 async {
-                    let _ = self.change.recv().await;
+                    let _ = self.restarted.recv().await;
                 },
                 async {
                     let _ = Timer::after(Duration::from_millis(20)).await;
@@ -252,32 +268,33 @@
         }
     }
 
-    /// One connection: commands are begun as they come, and answered in their order.
+    /// Serves one connection: commands start as they arrive, and replies keep their order.
     async fn serve(&self, stream: &Arc<Stream>) {
-        let mut messages = Messages::default();
-        let mut owed: VecDeque<Owed> = VecDeque::new();
-        let mut mute = false;
+        let mut messages = MessageReader::default();
+        let mut pending_replies: VecDeque<PendingReply> = VecDeque::new();
+        let mut skipped_reply = false;
         loop {
-            let mut deaf = false;
-            while self.lock().mood == Mood::Deaf {
-                deaf = true;
+            let mut paused_reading = false;
+            while self.lock().fault_mode == FaultMode::NotReading {
+                paused_reading = true;
                 Timer::after(Duration::from_millis(10)).await;
             }
-            if deaf {
-                // When what is unread was sent can't be told any more: for the books it never came.
+            if paused_reading {
+                // It is unknown when the unread commands were sent, so they must not reach the checker as received
+                // now.
                 return;
             }
-            // A command was passed over on it: answers behind that would be taken for its own.
-            if mute && self.lock().mood != Mood::Silent {
+            // A command on this connection was left without a reply: the client would pair the next reply with it.
+            if skipped_reply && self.lock().fault_mode != FaultMode::Silent {
                 return;
             }
-            let due = owed.front().map(|owed| (owed.at, owed.after));
+            let due = pending_replies.front().map(|reply| (reply.at, reply.after));
             let next = async { Some(messages.next(&mut &**stream).await) };
             let answer = async {
                 match due {
                     Some((at, after)) => {
                         Timer::at(at).await;
-                        while self.taken() < after {
+                        while self.commands_received() < after {
                             Timer::after(Duration::from_millis(1)).await;
                         }
                     }
@@ -287,14 +304,17 @@
             };
             match or(answer, next).await {
                 None => {
-                    let Some(Owed { text, close, .. }) = owed.pop_front() else { continue };
-                    let halts = usize::from(self.lock().mood == Mood::Halting).min(text.len());
-                    let (now, later) = text.split_at(text.len() - halts);
-                    let wrote = wire::write(&mut &**stream, now).await;
-                    while halts > 0 && self.lock().mood == Mood::Halting {
+                    let Some(PendingReply { text, close, .. }) = pending_replies.pop_front() else {
+                        continue;
+                    };
+                    let withheld =
+                        usize::from(self.lock().fault_mode == FaultMode::WithholdingLastByte).min(text.len());
+                    let (head, tail) = text.split_at(text.len() - withheld);
+                    let wrote = wire::write(&mut &**stream, head).await;
+                    while withheld > 0 && self.lock().fault_mode == FaultMode::WithholdingLastByte {
                         Timer::after(Duration::from_millis(5)).await;
                     }
-                    let wrote = wrote.and(wire::write(&mut &**stream, later).await);
+                    let wrote = wrote.and(wire::write(&mut &**stream, tail).await);
                     if wrote.is_err() || close {
                         return;
                     }
@@ -302,9 +322,9 @@
                 Some(Ok(Some(Message::Array(words)))) => {
                     let words: Vec<_> =
                         words.iter().map(|w| String::from_utf8_lossy(w).into_owned()).collect();
-                    mute |= self.lock().mood == Mood::Silent;
-                    if !self.takes(words, &mut owed).await {
-                        reset_both(stream);
+                    skipped_reply |= self.lock().fault_mode == FaultMode::Silent;
+                    if !self.receive_command(words, &mut pending_replies).await {
+                        reset_on_close(stream);
                         return;
                     }
                 }
@@ -317,103 +337,116 @@
         }
     }
 
-    /// Takes one command; false where the connection is to be reset.
-    async fn takes(&self, words: Vec<String>, owed: &mut VecDeque<Owed>) -> bool {
+    /// Handles one command; false if the connection is to be reset.
+    async fn receive_command(
+        &self, words: Vec<String>, pending_replies: &mut VecDeque<PendingReply>,
+    ) -> bool {
         let now = Instant::now();
         let id = words.get(2).cloned().unwrap_or_default();
-        let list = words.get(3).cloned().unwrap_or_default();
-        let mark = field(&list, "k").map(str::to_owned);
-        let (act, mood, taken) = {
+        let fields = words.get(3).cloned().unwrap_or_default();
+        let idempotency_key = list_value(&fields, "k").map(str::to_owned);
+        let (scripted, fault_mode, command_number) = {
             let mut inner = self.lock();
-            inner.taken += 1;
-            (inner.script.pop_front(), inner.mood, inner.taken)
+            inner.commands_received += 1;
+            (inner.script.pop_front(), inner.fault_mode, inner.commands_received)
         };
-        self.books.lock().forwarded(&self.name, &id, self.clock.now());
-        let _ = self.told.try_send(words);
-        match (act, mood) {
-            (_, Mood::Resetting) => {
-                self.ran(&id, mark.as_deref());
+        self.checker.lock().forward_received(&self.name, &id, self.clock.now());
+        let _ = self.received_sender.try_send(words);
+        match (scripted, fault_mode) {
+            (_, FaultMode::Resetting) => {
+                self.record_execution(&id, idempotency_key.as_deref());
                 return false;
             }
-            (Some(Act::Nothing), _) => owed.push_back(Owed::at(now + NEVER, Vec::new())),
-            (None, Mood::Silent | Mood::Deaf | Mood::Refusing) => {}
-            (Some(Act::Say(text)), _) => {
+            (Some(ScriptedReply::NoReply), _) => {
+                pending_replies.push_back(PendingReply::at(now + NEVER_SENT_DELAY, Vec::new()))
+            }
+            (None, FaultMode::Silent | FaultMode::NotReading | FaultMode::Refusing) => {}
+            (Some(ScriptedReply::Send(text)), _) => {
                 if text.starts_with(b"-BUSY") {
-                    self.books.lock().refused(&id);
+                    self.checker.lock().forward_rejected(&id);
                 }
-                owed.push_back(Owed::at(now, text));
+                pending_replies.push_back(PendingReply::at(now, text));
+            }
+            (Some(ScriptedReply::SendAndClose(text)), _) => {
+                pending_replies.push_back(PendingReply { close: true, ..PendingReply::at(now, text) })
             }
-            (Some(Act::SayAndClose(text)), _) => owed.push_back(Owed { close: true, ..Owed::at(now, text) }),
-            (Some(Act::SayMore(text)), _) => {
-                self.ran(&id, mark.as_deref());
-                owed.push_back(Owed::at(now, value(&id, 7)));
-                owed.push_back(Owed::at(now + Duration::from_millis(1), text));
+            (Some(ScriptedReply::ServeThenSend(text)), _) => {
+                self.record_execution(&id, idempotency_key.as_deref());
+                pending_replies.push_back(PendingReply::at(now, value_reply(&id, 7)));
+                pending_replies.push_back(PendingReply::at(now + Duration::from_millis(1), text));
             }
-            (Some(Act::Hold), _) => {
-                self.ran(&id, mark.as_deref());
-                owed.push_back(Owed { after: taken + 1, ..Owed::at(now, value(&id, 7)) });
+            (Some(ScriptedReply::ServeAfterNextCommand), _) => {
+                self.record_execution(&id, idempotency_key.as_deref());
+                pending_replies.push_back(PendingReply {
+                    after: command_number + 1,
+                    ..PendingReply::at(now, value_reply(&id, 7))
+                });
             }
-            (None, Mood::Well | Mood::Halting) => {
-                let (ready, text) = self.works(&id, &list);
-                self.ran(&id, mark.as_deref());
-                // Answers go out in the commands' order.
-                let ready = owed.back().map_or(ready, |last| ready.max(last.at));
-                owed.push_back(Owed::at(ready, text));
+            (None, FaultMode::Healthy | FaultMode::WithholdingLastByte) => {
+                let (ready_at, text) = self.draw_reply(&id, &fields);
+                self.record_execution(&id, idempotency_key.as_deref());
+                // Replies go out in the order of their commands.
+                let ready_at = pending_replies.back().map_or(ready_at, |last| ready_at.max(last.at));
+                pending_replies.push_back(PendingReply::at(ready_at, text));
             }
         }
         true
     }
 
-    /// Draws what becomes of a command, and when.
-    fn works(&self, id: &str, list: &str) -> (Instant, Vec<u8>) {
+    /// Draws the reply to a command, and the time at which it is ready.
+    fn draw_reply(&self, id: &str, fields: &str) -> (Instant, Vec<u8>) {
         let mut inner = self.lock();
-        let Inner { manner, chance, cores, .. } = &mut *inner;
-        let concerns = manner.only.as_deref().is_none_or(|only| field(list, "c") == Some(only));
-        let part = |share: f64| if concerns { share } else { 0.0 };
-        let drawn = LogNormal::new(0.0, manner.spread.max(0.0)).map_or(1.0, |d| d.sample(chance));
-        let work = manner.work.mul_f64(drawn * if concerns { manner.drag } else { 1.0 });
+        let Inner { behavior, rng, core_free_at, .. } = &mut *inner;
+        let affected =
+            behavior.affected_group.as_deref().is_none_or(|only| list_value(fields, "c") == Some(only));
+        let rate_here = |share: f64| if affected { share } else { 0.0 };
+        let work_noise = LogNormal::new(0.0, behavior.work_sigma.max(0.0)).map_or(1.0, |d| d.sample(rng));
+        let work =
+            behavior.work_median.mul_f64(work_noise * if affected { behavior.work_factor } else { 1.0 });
         let now = Instant::now();
-        let free = cores.iter_mut().min().expect("a node has cores");
-        let ready = (*free).max(now) + work;
-        *free = ready;
-        let luck: f64 = chance.random_range(0.0..1.0);
-        let text = if luck < part(manner.fails) {
-            format!("-ERR failed {REPORT}\r\n").into_bytes()
-        } else if luck < part(manner.fails) + manner.spoils {
-            spoilt(chance)
-        } else if luck < part(manner.fails) + manner.spoils + part(manner.lies) {
-            value("another", manner.value)
+        let free_at = core_free_at.iter_mut().min().expect("a node has cores");
+        let ready_at = (*free_at).max(now) + work;
+        *free_at = ready_at;
+        let outcome_draw: f64 = rng.random_range(0.0..1.0);
+        let text = if outcome_draw < rate_here(behavior.error_rate) {
+            format!("-ERR failed {LOAD_REPORT}\r\n").into_bytes()
+        } else if outcome_draw < rate_here(behavior.error_rate) + behavior.malformed_rate {
+            malformed_reply(rng)
+        } else if outcome_draw
+            < rate_here(behavior.error_rate) + behavior.malformed_rate + rate_here(behavior.wrong_value_rate)
+        {
+            value_reply("another", behavior.value_bytes)
         } else {
-            value(id, manner.value)
+            value_reply(id, behavior.value_bytes)
         };
-        (ready, text)
+        (ready_at, text)
     }
 
-    /// Notes that a command's work was done, unless it is known as a repeat.
-    fn ran(&self, id: &str, mark: Option<&str>) {
+    /// Records an execution with the checker, unless the command is a repeat.
+    fn record_execution(&self, id: &str, idempotency_key: Option<&str>) {
         let now = self.clock.now();
-        let memory = Span::nanos(self.lock().manner.memory.as_nanos() as u64);
-        let mut books = self.books.lock();
-        // All nodes together drop repeats.
-        if !mark.is_some_and(|mark| books.repeats(mark, memory, now)) {
-            books.ran(&self.name, id, now);
+        let memory = Span::nanos(self.lock().behavior.dedup_memory.as_nanos() as u64);
+        let mut checker = self.checker.lock();
+        // Repeats are dropped across all nodes together.
+        if !idempotency_key.is_some_and(|idempotency_key| checker.is_repeat(idempotency_key, memory, now)) {
+            checker.command_executed(&self.name, id, now);
         }
     }
 }
 
-/// A value made for one hit: its own id stands in it, so that a client can tell.
-fn value(id: &str, size: usize) -> Vec<u8> {
+/// A reply with a value that begins with the hit's id, so that the client can tell whose value it is.
+fn value_reply(id: &str, size: usize) -> Vec<u8> {
     let mut text = id.as_bytes().to_vec();
     text.resize(size.max(text.len()), b'.');
     let mut out = b"*3\r\n".to_vec();
     stonescale_formats::resp::write_bulk_string(&mut out, &text);
     out.extend_from_slice(b"$-1\r\n");
-    stonescale_formats::resp::write_bulk_string(&mut out, REPORT.as_bytes());
+    stonescale_formats::resp::write_bulk_string(&mut out, LOAD_REPORT.as_bytes());
     out
 }
 
-/// One of the ways in which an answer can be spoilt.
-fn spoilt(chance: &mut Pcg64Mcg) -> Vec<u8> {
+/// An unreadable reply, of a kind drawn at random.
+fn malformed_reply(rng: &mut Pcg64Mcg) -> Vec<u8> {
     let kinds: [&[u8]; 5] = [
         b"\x00\x17noise\xff\xff\r\n",
         b"*3\r\n$70000000\r\nva",
@@ -421,21 +454,22 @@
         b"-ERR a line that does not end",
         b"*x\r\n",
     ];
-    kinds[chance.random_range(0..kinds.len())].to_vec()
+    kinds[rng.random_range(0..kinds.len())].to_vec()
 }
 
-/// Ends a connection with a reset.
+/// Resets a connection.
 fn reset(stream: Stream) {
-    // Unread bytes would do it as well; a linger of nothing does it always.
-    let _ = socket_linger(&stream);
+    // Unread data would cause a reset as well, but a linger time of zero always does.
+    let _ = set_zero_linger(&stream);
     drop(stream);
 }
 
-fn reset_both(stream: &Arc<Stream>) {
-    let _ = socket_linger(stream);
+/// Makes closing the connection reset it, for a connection with other holders.
+fn reset_on_close(stream: &Arc<Stream>) {
+    let _ = set_zero_linger(stream);
 }
 
-/// Closing resets from now on: with nothing lingering, what is unsent is dropped.
-fn socket_linger(stream: &Stream) -> std::io::Result<()> {
+/// Makes closing the socket reset the connection and drop unsent data.
+fn set_zero_linger(stream: &Stream) -> std::io::Result<()> {
     rustix::net::sockopt::set_socket_linger(stream.get_ref(), Some(Duration::ZERO)).map_err(Into::into)
 }
--- a/crates/lab/src/release.rs
+++ b/crates/lab/src/release.rs
@@ -1,62 +1,66 @@
-//! One release over the fleet, as the platform drives it: stages by the clock, back where a vote says so. No I/O: the
-//! time and the votes are handed in, and what is to be done comes back.
+//! State machine of one release over the fleet, as the platform drives it: stages advance with time, and a vote can
+//! roll the build back. It does no I/O: time and votes are arguments, and the actions to take are returned.
 
 use std::time::Duration;
 
-/// What is to be done next.
+/// An action that the release asks for.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Step {
-    /// Tell where the build stands: its stage, phase and cap.
-    Tell(u8, &'static str, f64),
-    /// Start so many nodes of the new build.
-    Start(usize),
-    /// Drain so many nodes of the earlier build.
-    Drain(usize),
-    /// Drain all nodes of the new build, and start so many of the earlier one.
-    Return(usize),
-    /// What drains is gone.
-    Remove,
+pub enum Action {
+    /// Report the build's stage, phase and cap to the marshals.
+    Announce(u8, &'static str, f64),
+    /// Start this many nodes of the new build.
+    StartNodes(usize),
+    /// Drain this many nodes of the earlier build.
+    DrainNodes(usize),
+    /// Drain all nodes of the new build, and start this many of the earlier one.
+    RollBack(usize),
+    /// Remove the nodes that are draining.
+    RemoveDrained,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
+    /// Not started yet.
     Offered,
-    /// In a stage: its nodes are starting, then carry it.
+    /// In this stage: its nodes are starting, then serving.
     Starting(usize),
-    Carrying(usize),
-    /// On the way back, until the earlier build's nodes are up again.
-    Returning,
+    Serving(usize),
+    /// Rolling back, until the nodes of the earlier build have started.
+    RollingBack,
+    /// Released.
     Live,
+    /// Rolled back, and the earlier build's nodes have started.
     Recalled,
 }
 
-/// How a release goes over a fleet.
+/// Plan of a release.
 #[derive(Clone, Debug)]
-pub struct Course {
+pub struct ReleasePlan {
     pub nodes: usize,
-    /// Share of the fleet, and cap, by stage; the last is all of it.
-    pub stages: Vec<f64>,
-    /// How long a node takes to start, and a stage to pass.
-    pub start: Duration,
-    pub stage: Duration,
+    /// Share of the fleet by stage, which is also the stage's cap; the last is 1.
+    pub stage_shares: Vec<f64>,
+    /// Time that a node takes to start, and that a stage lasts after it.
+    pub node_start: Duration,
+    pub stage_duration: Duration,
 }
 
 #[derive(Debug)]
+/// A release under way.
 pub struct Release {
-    course: Course,
+    plan: ReleasePlan,
     state: State,
     since: Duration,
-    /// Nodes of the new build started, and of the earlier one drained, so far.
+    /// Nodes of the new build started so far, and of the earlier one drained.
     started: usize,
     drained: usize,
 }
 
 impl Release {
-    pub fn new(course: Course, now: Duration) -> Self {
-        Release { course, state: State::Offered, since: now, started: 0, drained: 0 }
+    pub fn new(plan: ReleasePlan, now: Duration) -> Self {
+        Release { plan, state: State::Offered, since: now, started: 0, drained: 0 }
     }
 
-    /// Whether the build was released, once that is settled.
+    /// Whether the build was released (true) or rolled back (false); none while the release is under way.
     pub fn outcome(&self) -> Option<bool> {
         match self.state {
             State::Live => Some(true),
@@ -65,61 +69,63 @@
         }
     }
 
-    /// The stage it is in, for people to look at.
+    /// The current stage, for display.
     pub fn stage(&self) -> usize {
         match self.state {
-            State::Starting(stage) | State::Carrying(stage) => stage,
-            State::Live => self.course.stages.len(),
+            State::Starting(stage) | State::Serving(stage) => stage,
+            State::Live => self.plan.stage_shares.len(),
             _ => 0,
         }
     }
 
     /// The only place where the state changes.
-    fn shift(&mut self, to: State, now: Duration) {
+    fn enter_state(&mut self, to: State, now: Duration) {
         (self.state, self.since) = (to, now);
     }
 
     fn cap(&self, stage: usize) -> f64 {
-        self.course.stages.get(stage).copied().unwrap_or(1.0)
+        self.plan.stage_shares.get(stage).copied().unwrap_or(1.0)
     }
 
-    fn enter(&mut self, stage: usize, now: Duration) -> Vec<Step> {
-        let wanted = (self.cap(stage) * self.course.nodes as f64).ceil() as usize;
-        let more = wanted.saturating_sub(self.started);
-        self.started += more;
-        self.shift(State::Starting(stage), now);
-        vec![Step::Tell(stage as u8, "testing", self.cap(stage)), Step::Start(more)]
+    /// Starts a stage: reports it, and starts as many nodes as its share asks for.
+    fn enter_stage(&mut self, stage: usize, now: Duration) -> Vec<Action> {
+        let target_nodes = (self.cap(stage) * self.plan.nodes as f64).ceil() as usize;
+        let additional = target_nodes.saturating_sub(self.started);
+        self.started += additional;
+        self.enter_state(State::Starting(stage), now);
+        vec![Action::Announce(stage as u8, "testing", self.cap(stage)), Action::StartNodes(additional)]
     }
 
-    /// What is to be done by `now`; `back` where a vote against the build stands, `hold` where one stops the clock.
-    pub fn poll(&mut self, now: Duration, back: bool, hold: bool) -> Vec<Step> {
+    /// Actions due at `now`. `stop_vote` is true while a vote against the build is valid, `hold_vote` while one holds
+    /// the stage.
+    pub fn poll(&mut self, now: Duration, stop_vote: bool, hold_vote: bool) -> Vec<Action> {
         let age = now.saturating_sub(self.since);
         match self.state {
             State::Live | State::Recalled => Vec::new(),
-            State::Starting(_) | State::Carrying(_) if back => {
-                self.shift(State::Returning, now);
-                vec![Step::Tell(0, "recalling", 0.0), Step::Return(self.drained)]
+            State::Starting(_) | State::Serving(_) if stop_vote => {
+                self.enter_state(State::RollingBack, now);
+                vec![Action::Announce(0, "recalling", 0.0), Action::RollBack(self.drained)]
             }
-            State::Offered => self.enter(0, now),
-            State::Starting(stage) if age >= self.course.start => {
-                let drain = self.started - self.drained;
+            State::Offered => self.enter_stage(0, now),
+            State::Starting(stage) if age >= self.plan.node_start => {
+                let to_drain = self.started - self.drained;
                 self.drained = self.started;
-                self.shift(State::Carrying(stage), now);
-                vec![Step::Drain(drain)]
+                self.enter_state(State::Serving(stage), now);
+                vec![Action::DrainNodes(to_drain)]
             }
-            State::Carrying(stage) if age >= self.course.stage && !hold => {
-                let mut steps = vec![Step::Remove];
-                if stage + 1 < self.course.stages.len() {
-                    steps.extend(self.enter(stage + 1, now));
+            State::Serving(stage) if age >= self.plan.stage_duration && !hold_vote => {
+                let mut actions = vec![Action::RemoveDrained];
+                if stage + 1 < self.plan.stage_shares.len() {
+                    actions.extend(self.enter_stage(stage + 1, now));
                 } else {
-                    self.shift(State::Live, now);
-                    steps.push(Step::Tell(stage as u8, "live", 1.0));
+                    self.enter_state(State::Live, now);
+                    actions.push(Action::Announce(stage as u8, "live", 1.0));
                 }
-                steps
+                actions
             }
-            State::Returning if age >= self.course.start => {
-                self.shift(State::Recalled, now);
-                vec![Step::Remove, Step::Tell(0, "recalled", 0.0)]
+            State::RollingBack if age >= self.plan.node_start => {
+                self.enter_state(State::Recalled, now);
+                vec![Action::RemoveDrained, Action::Announce(0, "recalled", 0.0)]
             }
             _ => Vec::new(),
         }
--- a/crates/lab/src/site.rs
+++ b/crates/lab/src/site.rs
@@ -6,27 +6,39 @@
 use stonescale::settings::{DedupScope, Effect};
 use stonescale::time::Span;
 
-/// A path group as its hits are sent.
+/// A path group, as clients send its hits.
 #[derive(Clone, Debug)]
-pub struct Group {
+pub struct PathGroup {
     pub name: &'static str,
     pub effect: Effect,
-    pub target: Duration,
+    /// Target latency.
+    pub latency_target: Duration,
+    /// Benefit of a hit that is delivered in time.
     pub benefit: f64,
 }
 
-/// How long a tagged hit's mark is remembered here.
-pub const MEMORY: Duration = Duration::from_millis(3_000);
+/// Time that the idempotency key of a tagged hit is remembered at this site.
+pub const DEDUP_MEMORY: Duration = Duration::from_millis(3_000);
 
+/// Index of the repeatable path group in `groups`.
 pub const READ: usize = 0;
+/// Index of the tagged path group in `groups`.
 pub const PUSH: usize = 1;
+/// Index of the mutating path group in `groups`.
 pub const BOOK: usize = 2;
 
-/// One path group of each kind, by their constants.
-pub fn groups() -> Vec<Group> {
-    let tagged =
-        Effect::Tagged { scope: DedupScope::All, dedup_window: Span::millis(MEMORY.as_millis() as u64) };
-    let group = |name, effect, benefit| Group { name, effect, target: Duration::from_millis(400), benefit };
+/// One path group of each kind, in the order of the constants above.
+pub fn groups() -> Vec<PathGroup> {
+    let tagged = Effect::Tagged {
+        scope: DedupScope::All,
+        dedup_window: Span::millis(DEDUP_MEMORY.as_millis() as u64),
+    };
+    let group = |name, effect, benefit| PathGroup {
+        name,
+        effect,
+        latency_target: Duration::from_millis(400),
+        benefit,
+    };
     vec![
         group("read", Effect::Repeatable, 1.0),
         group("push", tagged, 3.0),
@@ -34,16 +46,16 @@
     ]
 }
 
-/// The settings object of the site.
+/// The settings of the site, as JSON.
 pub fn settings() -> Value {
-    let class = |group: Group| {
+    let class = |group: PathGroup| {
         let effect = match group.effect {
             Effect::Repeatable => "retryable",
             Effect::Tagged { .. } => "dedup",
             Effect::Mutating => "fragile",
         };
-        json!({"name": group.name, "aim_ns": group.target.as_nanos() as u64, "deadline_ns": 1_500_000_000u64,
-            "effect": effect, "dedup_scope": "all", "memory_span_ns": MEMORY.as_nanos() as u64,
+        json!({"name": group.name, "aim_ns": group.latency_target.as_nanos() as u64, "deadline_ns": 1_500_000_000u64,
+            "effect": effect, "dedup_scope": "all", "memory_span_ns": DEDUP_MEMORY.as_nanos() as u64,
             "worth": group.benefit})
     };
     json!({"azs": ["a", "b"], "flavors": ["m"], "me": 0, "siblings": 1, "zone": 0, "tick_ns": 1_000_000u64,
@@ -60,7 +72,7 @@
             "vote_stands_ns": 4_000_000_000u64}})
 }
 
-/// Limits of a marshal's process.
+/// Limits of a marshal's process: memory in MiB, and open sockets.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     pub memory_mb: usize,
@@ -73,11 +85,11 @@
     }
 }
 
-/// A marshal's configuration.
+/// Configuration of a marshal, as JSON.
 pub fn config(
-    limits: Limits, discovery: SocketAddr, platform: SocketAddr, news: &Value, known: &Value,
+    limits: Limits, discovery: SocketAddr, platform: SocketAddr, build_status: &Value, known: &Value,
 ) -> Value {
     json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": discovery, "seed": "7",
         "limits": {"cores": 1.0, "memory_mb": limits.memory_mb, "sockets": limits.sockets},
-        "platform": {"address": platform, "news": news}, "known": known, "settings": settings()})
+        "platform": {"address": platform, "news": build_status}, "known": known, "settings": settings()})
 }
