--- a/crates/lab/src/cost.rs
+++ b/crates/lab/src/cost.rs
@@ -13,28 +13,28 @@
 
 /// How it is measured.
 #[derive(Clone, Copy, Debug)]
-pub struct Course {
+pub struct Measurement {
     pub rounds: usize,
-    pub span: Duration,
+    pub round_duration: Duration,
     /// Hits a second.
-    pub rate: f64,
+    pub hits_per_second: f64,
 }
 
 /// Processor time by hit in microseconds, round by round, and hits delivered of those asked.
 #[derive(Clone, Debug, Default)]
-pub struct Side {
+pub struct BuildCost {
     pub micros: Vec<f64>,
     pub p99_micros: Vec<u64>,
     pub asked: u64,
     pub delivered: u64,
 }
 
-fn round(world: &World, course: Course, side: &mut Side, seed: u64) -> Option<()> {
-    let before = world.program.sample()?.cpu;
-    let load = world.load(Plan { connections: 256, ..Plan::mixed(course.rate, seed) });
-    std::thread::sleep(course.span);
+fn round(world: &World, course: Measurement, side: &mut BuildCost, seed: u64) -> Option<()> {
+    let before = world.program.usage()?.cpu_time;
+    let load = world.start_load(Plan { connections: 256, ..Plan::mixed(course.hits_per_second, seed) });
+    std::thread::sleep(course.round_duration);
     let tallies = load.finish();
-    let cpu = world.program.sample()?.cpu - before;
+    let cpu = world.program.usage()?.cpu_time - before;
     let (asked, delivered) =
         tallies.iter().fold((0, 0), |sum, tally| (sum.0 + tally.asked, sum.1 + tally.delivered));
     side.asked += asked;
@@ -45,15 +45,15 @@
 }
 
 /// Runs both in turns, after a round that is not counted.
-pub fn run(one: &Path, other: &Path, course: Course) -> Result<[Side; 2], String> {
+pub fn run(one: &Path, other: &Path, course: Measurement) -> Result<[BuildCost; 2], String> {
     let manner = Manner { cores: 64, ..Manner::default() };
     let start = |binary: &Path| World::start(binary, NODES, Limits::default(), &manner, &[]);
     let worlds = [start(one)?, start(other)?];
-    let mut sides = [Side::default(), Side::default()];
+    let mut sides = [BuildCost::default(), BuildCost::default()];
     for number in 0..=course.rounds {
         // Who goes first changes, as the one after may find a warmer machine.
         for at in if number % 2 == 0 { [0, 1] } else { [1, 0] } {
-            let mut side = Side::default();
+            let mut side = BuildCost::default();
             let counted = if number == 0 { &mut side } else { &mut sides[at] };
             round(&worlds[at], course, counted, number as u64).ok_or("a marshal ended")?;
         }
@@ -69,7 +69,7 @@
 }
 
 /// Both sides, and the ratio of the first to the second round by round.
-pub fn table(names: [&str; 2], sides: &[Side; 2]) -> String {
+pub fn table(names: [&str; 2], sides: &[BuildCost; 2]) -> String {
     let mut text = String::from(
         "| build | us of processor a hit: least, median, most | p99, us (median) | delivered |\n",
     );
--- a/crates/lab/src/demo.rs
+++ b/crates/lab/src/demo.rs
@@ -12,10 +12,10 @@
 use std::time::Duration;
 
 /// What is shown while it runs.
-pub struct Seen {
+pub struct Progress {
     /// Part of the whole that is over, 0 to 1.
-    pub done: f64,
-    pub text: String,
+    pub fraction_done: f64,
+    pub message: String,
 }
 
 const NODES: usize = 8;
@@ -25,11 +25,11 @@
 const EACH: Duration = Duration::from_secs(18);
 
 /// Runs it; returns the closing table.
-pub fn run(binary: &Path, out: &Path, mut show: impl FnMut(Seen)) -> Result<String, String> {
+pub fn run(binary: &Path, out: &Path, mut show: impl FnMut(Progress)) -> Result<String, String> {
     // As long as such services take; with answers of 2 ms each new connection would look like drag.
     let usual = Manner { cores: 32, work: Duration::from_millis(40), ..Manner::default() };
     let mut world = World::start(binary, NODES, Limits::default(), &usual, &[])?;
-    let load = world.load(Plan::mixed(RATE, 7));
+    let load = world.start_load(Plan::mixed(RATE, 7));
     let stages = vec![0.1, 0.35, 1.0];
     let builds = [("good", 0.0, FIRST_BUILD + 1), ("bad", 0.35, FIRST_BUILD + 2)];
     let (mut table, mut served, mut share_new) = (String::new(), Vec::new(), Vec::new());
@@ -84,7 +84,10 @@
                 sums.1 as f64 / (sums.0 as f64).max(1.0) * 100.0,
             );
             let part = (now - begun).as_secs_f64() / EACH.as_secs_f64();
-            show(Seen { done: (turn as f64 + part.min(1.0)) / builds.len() as f64, text });
+            show(Progress {
+                fraction_done: (turn as f64 + part.min(1.0)) / builds.len() as f64,
+                message: text,
+            });
         }
         let (became, after) = match (rollout.outcome(), settled) {
             (Some(true), Some(at)) => ("released", format!("{:.1} s", at.as_secs_f64())),
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -104,15 +104,19 @@
         Command::Demo { marshal, plot } => {
             let (program, bar) = (marshal.program()?, bar());
             let table = demo::run(&program, &plot, |seen| {
-                bar.set_position((seen.done * 1_000.0) as u64);
-                bar.set_message(seen.text);
+                bar.set_position((seen.fraction_done * 1_000.0) as u64);
+                bar.set_message(seen.message);
             })?;
             bar.finish_and_clear();
             println!("{table}");
             Ok(true)
         }
         Command::Cost { marshal, versus, rounds, rate, seconds } => {
-            let course = cost::Course { rounds, rate, span: std::time::Duration::from_secs(seconds) };
+            let course = cost::Measurement {
+                rounds,
+                hits_per_second: rate,
+                round_duration: std::time::Duration::from_secs(seconds),
+            };
             let sides = cost::run(&marshal.program()?, &versus, course)?;
             println!("{}", cost::table(["this", "versus"], &sides));
             Ok(true)
@@ -130,7 +134,7 @@
             })?;
             bar.finish_and_clear();
             println!("{}", report.table());
-            Ok(report.misses.is_empty())
+            Ok(report.missed_tolerances.is_empty())
         }
     }
 }
--- a/crates/lab/src/plot.rs
+++ b/crates/lab/src/plot.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 
 /// One line: its name, and points (seconds, figure).
-pub type Line = (String, Vec<(f64, f64)>);
+pub type NamedSeries = (String, Vec<(f64, f64)>);
 
 const COLOURS: [RGBColor; 10] = [
     RGBColor(31, 119, 180),
@@ -20,7 +20,7 @@
 ];
 
 /// Draws the lines into a file, over one axis of time.
-pub fn draw(path: &Path, title: &str, unit: &str, lines: &[Line]) -> Result<(), String> {
+pub fn draw(path: &Path, title: &str, unit: &str, lines: &[NamedSeries]) -> Result<(), String> {
     let fault = |e: &dyn std::fmt::Display| format!("{}: {e}", path.display());
     let points = || lines.iter().flat_map(|l| &l.1);
     let (last, most) = points().fold((1.0f64, 1.0f64), |m, p| (m.0.max(p.0), m.1.max(p.1)));
--- a/crates/lab/src/program.rs
+++ b/crates/lab/src/program.rs
@@ -16,13 +16,13 @@
 
 /// What a process holds and has used.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Sample {
+pub struct ProcessUsage {
     /// Resident bytes of the process alone, without the program's own pages: what a limit is held against.
-    pub resident: usize,
+    pub resident_bytes: usize,
     /// The most that was resident at once so far, counted alike.
-    pub peak: usize,
+    pub peak_bytes: usize,
     /// Processor time, user and system.
-    pub cpu: Duration,
+    pub cpu_time: Duration,
     pub descriptors: usize,
 }
 
@@ -30,12 +30,12 @@
     child: Child,
     pub addr: SocketAddr,
     /// Where its configuration lies.
-    pub config: PathBuf,
+    pub config_path: PathBuf,
     pub log: Receiver<String>,
 }
 
 /// A path of its own in the folder for temporary files.
-pub fn fresh_path(ending: &str) -> PathBuf {
+pub fn unique_temp_path(ending: &str) -> PathBuf {
     static NUMBER: AtomicUsize = AtomicUsize::new(0);
     let number = NUMBER.fetch_add(1, Ordering::SeqCst);
     std::env::temp_dir().join(format!("stonescale-lab-{}-{number}.{ending}", std::process::id()))
@@ -44,14 +44,14 @@
 impl Program {
     /// Starts `binary serve` with this configuration and further arguments, and waits until it listens.
     pub fn start(binary: &Path, config: &Value, args: &[&str]) -> Result<Self, String> {
-        Self::start_in(binary, config, args, &[])
+        Self::start_with_env(binary, config, args, &[])
     }
 
     /// The same, in an environment of these variables.
-    pub fn start_in(
+    pub fn start_with_env(
         binary: &Path, config: &Value, args: &[&str], env: &[(&str, &str)],
     ) -> Result<Self, String> {
-        let path = fresh_path("json");
+        let path = unique_temp_path("json");
         std::fs::write(&path, config.to_string()).map_err(|e| format!("{}: {e}", path.display()))?;
         let mut command = Command::new(binary);
         command.arg("serve").arg("--config").arg(&path).args(args);
@@ -63,15 +63,15 @@
         let stderr = child.stderr.take().ok_or("no log")?;
         let (tell, log) = sync_channel(LINES);
         std::thread::spawn(move || pass_on(BufReader::new(stderr), &tell));
-        let mut program = Program { child, addr: ([127, 0, 0, 1], 0).into(), config: path, log };
-        let line = program.logged("listening at ", READY)?;
+        let mut program = Program { child, addr: ([127, 0, 0, 1], 0).into(), config_path: path, log };
+        let line = program.wait_for_log_line("listening at ", READY)?;
         let addr = line.split("listening at ").nth(1).and_then(|t| t.split(['"', ' ']).next());
         program.addr = addr.and_then(|a| a.parse().ok()).ok_or_else(|| format!("no address in '{line}'"))?;
         Ok(program)
     }
 
     /// Waits for a line of the log that holds `word`.
-    pub fn logged(&self, word: &str, limit: Duration) -> Result<String, String> {
+    pub fn wait_for_log_line(&self, word: &str, limit: Duration) -> Result<String, String> {
         let until = Instant::now() + limit;
         let mut last = String::new();
         loop {
@@ -96,13 +96,13 @@
     }
 
     /// Has it ended?
-    pub fn ended(&mut self) -> Option<ExitStatus> {
+    pub fn exit_status(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
 
     /// What it holds now.
-    pub fn sample(&self) -> Option<Sample> {
-        sample(self.pid())
+    pub fn usage(&self) -> Option<ProcessUsage> {
+        process_usage(self.pid())
     }
 }
 
@@ -116,7 +116,7 @@
 }
 
 /// Reads what a process holds from the system's pages on it.
-pub fn sample(pid: u32) -> Option<Sample> {
+pub fn process_usage(pid: u32) -> Option<ProcessUsage> {
     let status = std::fs::read_to_string(format!("/proc/{pid}/status")).ok()?;
     let kib = |name: &str| {
         let line = status.lines().find_map(|l| l.strip_prefix(name));
@@ -132,13 +132,13 @@
     };
     let cpu = Duration::from_nanos(threads.filter_map(on_cpu).sum());
     let descriptors = std::fs::read_dir(format!("/proc/{pid}/fd")).map_or(0, |d| d.count());
-    Some(Sample { resident, peak, cpu, descriptors })
+    Some(ProcessUsage { resident_bytes: resident, peak_bytes: peak, cpu_time: cpu, descriptors })
 }
 
 impl Drop for Program {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
-        let _ = std::fs::remove_file(&self.config);
+        let _ = std::fs::remove_file(&self.config_path);
     }
 }
--- a/crates/lab/src/rollout.rs
+++ b/crates/lab/src/rollout.rs
@@ -46,23 +46,23 @@
                 Step::Tell(stage, phase, cap) => {
                     world.platform.tell(News { build: self.build, stage, phase, cap });
                 }
-                Step::Start(many) => self.fresh.extend(world.add(many, self.build, &self.manner)),
+                Step::Start(many) => self.fresh.extend(world.add_nodes(many, self.build, &self.manner)),
                 Step::Drain(many) => {
                     let old = world.nodes.iter().map(|n| n.name.clone());
                     let old = old.filter(|n| !self.fresh.contains(n) && !self.leaving.contains(n));
                     let old: Vec<_> = old.take(many).collect();
-                    world.state(&old, "draining");
+                    world.set_node_state(&old, "draining");
                     self.leaving.extend(old);
                 }
                 Step::Return(many) => {
                     let fresh = std::mem::take(&mut self.fresh);
-                    world.state(&fresh, "draining");
+                    world.set_node_state(&fresh, "draining");
                     self.leaving.extend(fresh);
-                    world.add(many, self.before, &self.usual);
+                    world.add_nodes(many, self.before, &self.usual);
                 }
                 Step::Remove => {
                     let gone = std::mem::take(&mut self.leaving);
-                    world.state(&gone, "removed");
+                    world.set_node_state(&gone, "removed");
                 }
             }
         }
--- a/crates/lab/src/sizes.rs
+++ b/crates/lab/src/sizes.rs
@@ -23,11 +23,11 @@
 
 /// Bytes of each, measured and planned; how many were there.
 #[derive(Clone, Copy, Debug)]
-pub struct Size {
+pub struct MeasuredSize {
     pub what: &'static str,
-    pub many: usize,
-    pub measured: f64,
-    pub planned: f64,
+    pub count: usize,
+    pub measured_bytes: f64,
+    pub planned_bytes: f64,
 }
 
 /// What a marshal says that it holds: resident bytes, and bytes by purpose as held and at their highest.
@@ -40,11 +40,11 @@
     fn of(program: &Program) -> Result<Self, String> {
         while program.log.try_recv().is_ok() {}
         program.signal("USR1");
-        let whole = program.logged("memory of the process", WAIT)?;
+        let whole = program.wait_for_log_line("memory of the process", WAIT)?;
         let mut report = Report { resident: number(&whole, "resident=")?, rows: Vec::new() };
         // The log's own purpose is the last fixed one; path groups follow.
         for _ in 0..stonescale_budget::purpose::FIXED.len() + crate::site::groups().len() {
-            let line = program.logged("memory by purpose", WAIT)?;
+            let line = program.wait_for_log_line("memory by purpose", WAIT)?;
             let name = line.split("purpose=\"").nth(1).and_then(|t| t.split('"').next()).unwrap_or_default();
             report.rows.push((name.to_owned(), number(&line, " held=")?, number(&line, " high=")?));
         }
@@ -89,7 +89,7 @@
 }
 
 /// Measures all three, each on a marshal of its own.
-pub fn run(binary: &Path) -> Result<Vec<Size>, String> {
+pub fn run(binary: &Path) -> Result<Vec<MeasuredSize>, String> {
     let manner = Manner { cores: 64, ..Manner::default() };
     let limits = Limits { memory_mb: 192, sockets: 2_048 };
     let start = || World::start(binary, NODES, limits, &manner, &["--operator", "/dev/null"]);
@@ -104,11 +104,11 @@
     let many = (after.held("clients") - before.held("clients")) / CLIENT;
     let grown = after.resident.saturating_sub(before.resident) as f64;
     let links = (after.held("links") as f64 - before.held("links") as f64).max(0.0);
-    let client = Size {
+    let client = MeasuredSize {
         what: "client connection",
-        many,
-        measured: (grown - links) / many.max(1) as f64,
-        planned: CLIENT as f64,
+        count: many,
+        measured_bytes: (grown - links) / many.max(1) as f64,
+        planned_bytes: CLIENT as f64,
     };
     drop((first, second, world));
 
@@ -123,16 +123,16 @@
         stream.write_all(&burst).map_err(io)?;
     }
     std::thread::sleep(Duration::from_millis(1_500));
-    let peak = world.program.sample().ok_or("the marshal ended")?.peak;
+    let peak = world.program.usage().ok_or("the marshal ended")?.peak_bytes;
     let after = Report::of(&world.program)?;
     let many = after.high("work.read") / (HIT + length);
     let others = after.others(&["work.read"]) as f64 - before.others(&["work.read"]) as f64;
     let grown = peak.saturating_sub(before.resident) as f64;
-    let hit = Size {
+    let hit = MeasuredSize {
         what: "hit in work, with its command",
-        many,
-        measured: (grown - others.max(0.0)) / many.max(1) as f64,
-        planned: (HIT + length) as f64,
+        count: many,
+        measured_bytes: (grown - others.max(0.0)) / many.max(1) as f64,
+        planned_bytes: (HIT + length) as f64,
     };
     drop((streams, world));
 
@@ -141,7 +141,7 @@
     let world = start()?;
     world.nodes.iter().for_each(|n| n.manner(|m| m.work = Duration::from_millis(50)));
     let under = |rate: f64| {
-        let load = world.load(Plan { connections: 1_024, ..Plan::reads(rate, 1) });
+        let load = world.start_load(Plan { connections: 1_024, ..Plan::reads(rate, 1) });
         std::thread::sleep(Duration::from_secs(3));
         let report = Report::of(&world.program);
         load.finish();
@@ -150,17 +150,26 @@
     let (few, more) = (under(100.0)?, under(1_500.0)?);
     let grown = |purpose: &str| more.held(purpose) as f64 - few.held(purpose) as f64;
     let many = grown("links") / LINK as f64;
-    let hits = grown("work.read") / hit.planned * hit.measured;
-    let clients = grown("clients") / client.planned * client.measured;
+    let hits = grown("work.read") / hit.planned_bytes * hit.measured_bytes;
+    let clients = grown("clients") / client.planned_bytes * client.measured_bytes;
     let measured = (more.resident as f64 - few.resident as f64 - hits - clients) / many.max(1.0);
     let many = many.max(0.0) as usize;
-    Ok(vec![client, hit, Size { what: "node connection", many, measured, planned: LINK as f64 }])
+    Ok(vec![
+        client,
+        hit,
+        MeasuredSize {
+            what: "node connection",
+            count: many,
+            measured_bytes: measured,
+            planned_bytes: LINK as f64,
+        },
+    ])
 }
 
-pub fn table(sizes: &[Size]) -> String {
+pub fn table(sizes: &[MeasuredSize]) -> String {
     let mut text =
         String::from("| what | how many | bytes measured | bytes planned |\n| --- | --- | --- | --- |\n");
-    for Size { what, many, measured, planned } in sizes {
+    for MeasuredSize { what, count: many, measured_bytes: measured, planned_bytes: planned } in sizes {
         let _ = writeln!(text, "| {what} | {many} | {measured:.0} | {planned:.0} |");
     }
     text
--- a/crates/lab/src/soak.rs
+++ b/crates/lab/src/soak.rs
@@ -5,7 +5,7 @@
 use crate::load::{Load, Plan, Tally};
 use crate::node::{Manner, Mood};
 use crate::plot;
-use crate::program::fresh_path;
+use crate::program::unique_temp_path;
 use crate::release::Course;
 use crate::rogue::{self, Rogues};
 use crate::rollout::Rollout;
@@ -75,10 +75,10 @@
 
 impl Scenario {
     pub fn read(path: &Path) -> Result<Self, String> {
-        Self::of(Sheet::read(path)?)
+        Self::from_settings(Sheet::read(path)?)
     }
 
-    pub fn of(mut sheet: Sheet) -> Result<Self, String> {
+    pub fn from_settings(mut sheet: Sheet) -> Result<Self, String> {
         let span = |sheet: &mut Sheet, key, default| {
             sheet.take("soak", key, default, sheet::span, |s| sheet::shown(*s)).map(duration)
         };
@@ -118,7 +118,7 @@
 
 /// One row of the verdict.
 #[derive(Clone, Debug)]
-pub struct Row {
+pub struct ReportRow {
     pub name: String,
     /// While no trouble is on; the most is that of the whole run.
     pub trend: Trend,
@@ -130,10 +130,10 @@
 /// What a soak showed.
 #[derive(Clone, Debug)]
 pub struct Report {
-    pub rows: Vec<Row>,
+    pub rows: Vec<ReportRow>,
     /// Mean share of the resident size that is unaccounted for, and the most bytes.
     pub unaccounted: (f64, f64),
-    pub most_resident: f64,
+    pub max_resident_bytes: f64,
     pub limit: f64,
     pub tallies: Vec<Tally>,
     pub rogue_hits: u64,
@@ -143,7 +143,7 @@
     /// Broken rules, as a text.
     pub broken: String,
     /// What is not as it should be; empty where all is.
-    pub misses: Vec<String>,
+    pub missed_tolerances: Vec<String>,
 }
 
 type Series = BTreeMap<String, Vec<(f64, f64)>>;
@@ -170,7 +170,7 @@
 pub fn run(
     scenario: &Scenario, binary: &Path, out: Option<&Path>, mut told: impl FnMut(Duration, Duration, Trouble),
 ) -> Result<Report, String> {
-    let operator = fresh_path("ini");
+    let operator = unique_temp_path("ini");
     let sample = sheet::shown(Span::nanos(scenario.sample.as_nanos() as u64));
     let text = format!("[log]\nformat = json\nlines_per_second = 10000\n[memory]\nreport_every = {sample}\n");
     std::fs::write(&operator, text).map_err(|e| format!("{}: {e}", operator.display()))?;
@@ -178,8 +178,8 @@
     let args = ["--operator", operator.to_str().unwrap_or_default()];
     let keepalive = scenario.keepalive.as_nanos() as u64;
     let change = |config: &mut Value| config["settings"]["limits"]["keepalive_ns"] = keepalive.into();
-    let world = World::start_with(binary, scenario.nodes, scenario.limits, &usual, &args, change)?;
-    let load = world.load(Plan::mixed(scenario.rate, scenario.seed));
+    let world = World::start_with_config(binary, scenario.nodes, scenario.limits, &usual, &args, change)?;
+    let load = world.start_load(Plan::mixed(scenario.rate, scenario.seed));
     let table = Timetable::draw(&scenario.troubles, scenario.cycles, scenario.phase, scenario.seed);
     let mut run = Run {
         scenario,
@@ -213,7 +213,7 @@
         }
         run.look(at);
         told(at, table.length(), trouble);
-        if let Some(status) = run.world.program.ended() {
+        if let Some(status) = run.world.program.exit_status() {
             return Err(format!("the marshal ended in the middle of it, {status}"));
         }
         std::thread::sleep(TICK);
@@ -234,7 +234,7 @@
         if let Some(rogues) = self.rogues.take() {
             self.rogue_hits += rogues.sent.load(std::sync::atomic::Ordering::Relaxed);
         }
-        self.world.mood(Mood::Well);
+        self.world.set_all_nodes_mode(Mood::Well);
         self.world.discovery.down(false);
         self.world.platform.silent(false);
         let (build, usual) = (self.build, self.usual.clone());
@@ -247,12 +247,12 @@
     fn trouble(&mut self, trouble: Trouble, at: Duration) {
         let (world, many) = (&self.world, self.scenario.rogues);
         let half = world.nodes.len().div_ceil(2);
-        let rogues = |manner, group, body| Some(world.rogues(manner, many, group, body));
+        let rogues = |manner, group, body| Some(world.start_rogues(manner, many, group, body));
         let change = |change: fn(&mut Manner)| world.nodes.iter().for_each(|n| n.manner(change));
         match trouble {
             Trouble::Calm | Trouble::Restarts => {}
             Trouble::Silent => world.nodes[..half].iter().for_each(|n| n.mood(Mood::Silent)),
-            Trouble::AllSilent => world.mood(Mood::Silent),
+            Trouble::AllSilent => world.set_all_nodes_mode(Mood::Silent),
             Trouble::Slow => change(|m| m.work *= 8),
             Trouble::Resets => world.nodes[..half].iter().for_each(|n| n.mood(Mood::Resetting)),
             Trouble::Spoilt => change(|m| m.spoils = 0.1),
@@ -341,7 +341,7 @@
                             self.note(key, at, value);
                         }
                     }
-                    if let Some(sample) = self.world.program.sample() {
+                    if let Some(sample) = self.world.program.usage() {
                         self.note("descriptors", at, sample.descriptors as f64);
                     }
                 }
@@ -357,13 +357,13 @@
         // A block is a cycle: each has all troubles in it.
         let block = cycle;
         let mut rows = Vec::new();
-        let mut misses = Vec::new();
+        let mut missed_tolerances = Vec::new();
         for (name, all) in &self.series {
             let series = self.quiet.get(name).map_or(&[][..], Vec::as_slice);
             let after: Vec<_> = series.iter().copied().filter(|s| s.0 >= from).collect();
             let most = all.iter().map(|s| s.1).fold(0.0, f64::max);
-            let Some(trend) = Trend::of(&after, block) else {
-                misses.push(format!("{name}: too few samples for a trend"));
+            let Some(trend) = Trend::fit(&after, block) else {
+                missed_tolerances.push(format!("{name}: too few samples for a trend"));
                 continue;
             };
             let tolerance = match name.as_str() {
@@ -372,47 +372,48 @@
                 _ => scenario.purposes,
             };
             let cap = self.caps.get(name).copied();
-            if !trend.flat(tolerance) {
-                let (slope, bound) = (trend.slope, trend.bound);
-                let sure = if trend.grows(tolerance) { "grows" } else { "is not shown to be flat" };
-                misses
+            if !trend.is_flat(tolerance) {
+                let (slope, bound) = (trend.slope, trend.slope_margin);
+                let sure = if trend.is_growing(tolerance) { "grows" } else { "is not shown to be flat" };
+                missed_tolerances
                     .push(format!("{name} {sure}: {slope:.1} +- {bound:.1} a second, {tolerance} tolerated"));
             }
             if cap.is_some_and(|cap| most > cap) {
-                misses.push(format!("{name} passed its cap: {most}"));
+                missed_tolerances.push(format!("{name} passed its cap: {most}"));
             }
-            rows.push(Row { name: name.clone(), trend: Trend { most, ..trend }, tolerance, cap });
+            rows.push(ReportRow { name: name.clone(), trend: Trend { max: most, ..trend }, tolerance, cap });
         }
         let figures = |name: &str| {
             let series = self.series.get(name).map_or(&[][..], Vec::as_slice);
             series.iter().filter(|s| s.0 >= from).map(|s| s.1).collect::<Vec<_>>()
         };
         let (resident, unaccounted) = (figures("resident"), figures("unaccounted"));
-        let most_resident = resident.iter().copied().fold(0.0, f64::max);
+        let max_resident_bytes = resident.iter().copied().fold(0.0, f64::max);
         let share = unaccounted.iter().sum::<f64>() / resident.iter().sum::<f64>().max(1.0);
         let most = unaccounted.iter().copied().fold(0.0, f64::max);
         let limit = scenario.limits.memory_mb as f64 * MIB;
         if resident.is_empty() {
-            misses.push("the marshal reported nothing".into());
+            missed_tolerances.push("the marshal reported nothing".into());
         }
         if share > scenario.unaccounted && most > UNACCOUNTED {
-            misses.push(format!(
+            missed_tolerances.push(format!(
                 "{:.0} % of the memory is unaccounted for, {most:.0} bytes at most",
                 share * 100.0
             ));
         }
-        if most_resident > limit {
-            misses.push(format!("{most_resident:.0} bytes were resident, over the limit of {limit:.0}"));
+        if max_resident_bytes > limit {
+            missed_tolerances
+                .push(format!("{max_resident_bytes:.0} bytes were resident, over the limit of {limit:.0}"));
         }
         let broken = self.world.books.verdict();
         if !broken.is_empty() {
-            misses.push(format!("rules broke: {broken}"));
+            missed_tolerances.push(format!("rules broke: {broken}"));
         }
-        let cpu = self.world.program.sample().map_or(Duration::ZERO, |s| s.cpu);
+        let cpu = self.world.program.usage().map_or(Duration::ZERO, |s| s.cpu_time);
         Report {
             rows,
             unaccounted: (share, most),
-            most_resident,
+            max_resident_bytes,
             limit,
             tallies: load.finish(),
             rogue_hits: self.rogue_hits,
@@ -420,7 +421,7 @@
             seconds: table.length().as_secs_f64(),
             cpu,
             broken,
-            misses,
+            missed_tolerances,
         }
     }
 
@@ -435,7 +436,7 @@
         }
         std::fs::write(out.join("samples.csv"), csv).map_err(fault)?;
         std::fs::write(out.join("report.md"), report.table()).map_err(fault)?;
-        let kib = |names: &dyn Fn(&str) -> bool| -> Vec<plot::Line> {
+        let kib = |names: &dyn Fn(&str) -> bool| -> Vec<plot::NamedSeries> {
             let fits = self.series.iter().filter(|(name, _)| names(name));
             fits.map(|(name, s)| (name.clone(), s.iter().map(|(t, v)| (*t, v / 1024.0)).collect())).collect()
         };
@@ -461,7 +462,7 @@
             self.rogue_hits,
             self.builds,
             self.cpu.as_secs_f64(),
-            self.most_resident / MIB,
+            self.max_resident_bytes / MIB,
             self.limit / MIB,
             self.unaccounted.0 * 100.0,
             self.unaccounted.1 / MIB,
@@ -471,15 +472,15 @@
             "| what | slope a second, while quiet | bound (95 %) | tolerated | mean, while quiet | most | cap |"
         );
         let _ = writeln!(text, "| --- | --- | --- | --- | --- | --- | --- |");
-        for Row { name, trend, tolerance, cap } in &self.rows {
+        for ReportRow { name, trend, tolerance, cap } in &self.rows {
             let cap = cap.map_or("-".into(), |cap| format!("{cap:.0}"));
-            let Trend { slope, bound, mean, most, .. } = trend;
+            let Trend { slope, slope_margin: bound, mean, max: most, .. } = trend;
             let _ = writeln!(
                 text,
                 "| {name} | {slope:.2} | {bound:.2} | {tolerance} | {mean:.0} | {most:.0} | {cap} |"
             );
         }
-        for miss in &self.misses {
+        for miss in &self.missed_tolerances {
             let _ = writeln!(text, "\nmissed: {miss}");
         }
         text
--- a/crates/lab/src/trend.rs
+++ b/crates/lab/src/trend.rs
@@ -7,10 +7,10 @@
     /// Units a second.
     pub slope: f64,
     /// Half the width of the interval that holds the slope with 95 %.
-    pub bound: f64,
+    pub slope_margin: f64,
     pub mean: f64,
-    pub most: f64,
-    pub blocks: usize,
+    pub max: f64,
+    pub block_count: usize,
 }
 
 /// Fewest blocks that tell a trend from chance.
@@ -18,7 +18,7 @@
 
 impl Trend {
     /// The trend of samples (seconds, figure), in blocks of `block` seconds; none from too few blocks.
-    pub fn of(samples: &[(f64, f64)], block: f64) -> Option<Self> {
+    pub fn fit(samples: &[(f64, f64)], block: f64) -> Option<Self> {
         let start = samples.first()?.0;
         let mut sums: Vec<(f64, f64, f64)> = Vec::new();
         for (at, value) in samples {
@@ -43,17 +43,23 @@
         let rest: f64 = blocks.iter().map(|b| (b.1 - y - slope * (b.0 - x)).powi(2)).sum();
         let error = (rest / (n - 2.0) / sxx).sqrt();
         let most = samples.iter().map(|s| s.1).fold(f64::NEG_INFINITY, f64::max);
-        Some(Trend { slope, bound: student(blocks.len() - 2) * error, mean: y, most, blocks: blocks.len() })
+        Some(Trend {
+            slope,
+            slope_margin: student(blocks.len() - 2) * error,
+            mean: y,
+            max: most,
+            block_count: blocks.len(),
+        })
     }
 
     /// It surely grows by less than `tolerance` units a second.
-    pub fn flat(&self, tolerance: f64) -> bool {
-        self.slope + self.bound <= tolerance
+    pub fn is_flat(&self, tolerance: f64) -> bool {
+        self.slope + self.slope_margin <= tolerance
     }
 
     /// It surely grows by more.
-    pub fn grows(&self, tolerance: f64) -> bool {
-        self.slope - self.bound > tolerance
+    pub fn is_growing(&self, tolerance: f64) -> bool {
+        self.slope - self.slope_margin > tolerance
     }
 }
 
--- a/crates/lab/src/world.rs
+++ b/crates/lab/src/world.rs
@@ -34,11 +34,11 @@
     pub fn start(
         binary: &Path, nodes: usize, limits: Limits, manner: &Manner, args: &[&str],
     ) -> Result<Self, String> {
-        Self::start_with(binary, nodes, limits, manner, args, |_| ())
+        Self::start_with_config(binary, nodes, limits, manner, args, |_| ())
     }
 
     /// The same, with a change to the marshal's configuration.
-    pub fn start_with(
+    pub fn start_with_config(
         binary: &Path, nodes: usize, limits: Limits, manner: &Manner, args: &[&str],
         change: impl FnOnce(&mut Value),
     ) -> Result<Self, String> {
@@ -58,29 +58,29 @@
         Ok(World { program, nodes, discovery, platform, books, groups, stage, started })
     }
 
-    pub fn load(&self, plan: Plan) -> Load {
+    pub fn start_load(&self, plan: Plan) -> Load {
         Load::start(&self.stage, self.books.clone(), self.groups.clone(), vec![self.program.addr], plan)
     }
 
     /// Clients that misbehave, with hits of this path group.
-    pub fn rogues(&self, manner: rogue::Manner, many: usize, group: usize, body: usize) -> Rogues {
-        self.patient_rogues(manner, many, group, body, Duration::from_millis(1_500))
+    pub fn start_rogues(&self, manner: rogue::Manner, many: usize, group: usize, body: usize) -> Rogues {
+        self.start_rogues_with_timeout(manner, many, group, body, Duration::from_millis(1_500))
     }
 
     /// The same, with hits that say how long they wait.
-    pub fn patient_rogues(
+    pub fn start_rogues_with_timeout(
         &self, manner: rogue::Manner, many: usize, group: usize, body: usize, patience: Duration,
     ) -> Rogues {
         let kind = Kind { group, share: 1.0, body, patience };
         Rogues::start(&self.stage, &self.books, manner, many, self.program.addr, (&self.groups[group], &kind))
     }
 
-    pub fn mood(&self, mood: Mood) {
+    pub fn set_all_nodes_mode(&self, mood: Mood) {
         self.nodes.iter().for_each(|node| node.mood(mood));
     }
 
     /// Starts so many nodes of a build, cold, and lists them; returns their names.
-    pub fn add(&mut self, many: usize, build: u16, manner: &Manner) -> Vec<String> {
+    pub fn add_nodes(&mut self, many: usize, build: u16, manner: &Manner) -> Vec<String> {
         let now_ms = self.stage.clock.now() - stonescale::state::LONG_AGO;
         let now_ms = now_ms.as_nanos() / 1_000_000;
         let first = self.started;
@@ -101,7 +101,7 @@
     }
 
     /// Lists nodes in another state, by their names; removed ones are forgotten here.
-    pub fn state(&mut self, names: &[String], state: &str) {
+    pub fn set_node_state(&mut self, names: &[String], state: &str) {
         self.discovery.change(names, |entry| entry.state = state.into());
         if state == "removed" {
             self.nodes.iter().filter(|n| names.contains(&n.name)).for_each(Node::stop);
@@ -110,10 +110,10 @@
     }
 
     /// The most that the marshal was resident with, looked at until `over` says so.
-    pub fn most_resident(&self, mut over: impl FnMut() -> bool) -> usize {
+    pub fn max_resident_bytes_until(&self, mut over: impl FnMut() -> bool) -> usize {
         let mut most = 0;
         while !over() {
-            most = most.max(self.program.sample().map_or(0, |s| s.resident));
+            most = most.max(self.program.usage().map_or(0, |s| s.resident_bytes));
             std::thread::sleep(Duration::from_millis(10));
         }
         most
--- a/crates/lab/tests/books.rs
+++ b/crates/lab/tests/books.rs
@@ -140,16 +140,16 @@
         let series = |slope: f64| -> Vec<(f64, f64)> {
             noise.iter().enumerate().map(|(at, n)| (at as f64, 1_000.0 + slope * at as f64 + n)).collect()
         };
-        let flat = Trend::of(&series(0.0), 20.0).unwrap();
-        let rising = Trend::of(&series(10.0), 20.0).unwrap();
-        prop_assert!(flat.flat(1.0) && !flat.grows(1.0), "{flat:?}");
-        prop_assert!(!rising.flat(1.0) && rising.grows(1.0), "{rising:?}");
+        let flat = Trend::fit(&series(0.0), 20.0).unwrap();
+        let rising = Trend::fit(&series(10.0), 20.0).unwrap();
+        prop_assert!(flat.is_flat(1.0) && !flat.is_growing(1.0), "{flat:?}");
+        prop_assert!(!rising.is_flat(1.0) && rising.is_growing(1.0), "{rising:?}");
     }
 }
 
 #[test]
 fn too_few_blocks_tell_no_trend() {
-    assert_eq!(Trend::of(&[(0.0, 1.0), (1.0, 2.0), (2.0, 3.0)], 1.0), None);
+    assert_eq!(Trend::fit(&[(0.0, 1.0), (1.0, 2.0), (2.0, 3.0)], 1.0), None);
 }
 
 /// Plays a release of ten nodes in steps of 50 ms; `back` says from when on a vote against it stands.
@@ -202,7 +202,7 @@
 #[case("[soak]\nphases = 3", "[soak] phases is no key here")]
 #[case("[tolerance]\nunaccounted = 15", "is not a part such as 25%")]
 fn a_wrong_scenario_is_refused_with_one_readable_line(#[case] text: &str, #[case] why: &str) {
-    let told = Sheet::parse("s.ini", text).and_then(Scenario::of).unwrap_err();
+    let told = Sheet::parse("s.ini", text).and_then(Scenario::from_settings).unwrap_err();
     assert!(told.contains(why) && told.lines().count() == 1, "{told}");
 }
 
@@ -210,5 +210,5 @@
 #[case(include_str!("../../../deploy/soak-short.ini"))]
 #[case(include_str!("../../../deploy/soak-long.ini"))]
 fn the_shipped_scenarios_can_be_read(#[case] text: &str) {
-    Sheet::parse("s.ini", text).and_then(Scenario::of).unwrap();
+    Sheet::parse("s.ini", text).and_then(Scenario::from_settings).unwrap();
 }
--- a/crates/marshal/tests/memory.rs
+++ b/crates/marshal/tests/memory.rs
@@ -8,7 +8,7 @@
 use stonescale_lab::discovery::Entry;
 use stonescale_lab::load::{Load, Plan};
 use stonescale_lab::node::{Act, Manner, Mood};
-use stonescale_lab::program::fresh_path;
+use stonescale_lab::program::unique_temp_path;
 use stonescale_lab::rogue::Manner as Rogue;
 use stonescale_lab::site::{Limits, PUSH, READ};
 use stonescale_lab::stage::until;
@@ -49,7 +49,7 @@
 
 fn during(world: &World, span: Duration) -> usize {
     let start = Instant::now();
-    world.most_resident(|| start.elapsed() >= span)
+    world.max_resident_bytes_until(|| start.elapsed() >= span)
 }
 
 /// Keeps on for `least`, and until of some reads that end one after another more than this share is delivered: a
@@ -58,7 +58,7 @@
 fn served(world: &World, load: &Load, share: f64, least: Duration) -> usize {
     let (start, mut good, mut last) = (Instant::now(), false, String::new());
     load.count_anew();
-    let most = world.most_resident(|| {
+    let most = world.max_resident_bytes_until(|| {
         let read = load.tallies().swap_remove(READ);
         let ended = read.delivered + read.bounced + read.errored + read.unanswered;
         if ended >= SOME {
@@ -76,8 +76,8 @@
 
 /// Usual clients are served as before, soon after the trouble.
 fn all_is_back(world: &World) {
-    world.mood(Mood::Well);
-    let reads = world.load(Plan::reads(100.0, 9));
+    world.set_all_nodes_mode(Mood::Well);
+    let reads = world.start_load(Plan::reads(100.0, 9));
     served(world, &reads, 0.95, Duration::ZERO);
 }
 
@@ -86,8 +86,8 @@
 #[test]
 fn a_flood_meets_its_cap_and_all_is_back_after_it() {
     let world = world(32, 1024);
-    world.mood(Mood::Silent);
-    let flood = world.rogues(Rogue::Flood, 450, PUSH, 60_000);
+    world.set_all_nodes_mode(Mood::Silent);
+    let flood = world.start_rogues(Rogue::Flood, 450, PUSH, 60_000);
     let most = during(&world, TROUBLE);
     drop(flood);
     assert!(most < 32 * MIB, "resident {most}");
@@ -100,9 +100,9 @@
     // Half of the nodes are silent: the flood stands in work for long, and its purpose is full.
     let world = world(8, 1024);
     world.nodes[..2].iter().for_each(|n| n.mood(Mood::Silent));
-    let flood = world.rogues(Rogue::Flood, 150, PUSH, 40_000);
+    let flood = world.start_rogues(Rogue::Flood, 150, PUSH, 40_000);
     std::thread::sleep(Duration::from_millis(1_000));
-    let reads = world.load(Plan::reads(100.0, 3));
+    let reads = world.start_load(Plan::reads(100.0, 3));
     let most = served(&world, &reads, 0.9, TROUBLE);
     drop(flood);
     assert!(most < 8 * MIB, "resident {most}");
@@ -113,9 +113,9 @@
 #[test]
 fn where_a_flood_holds_every_connection_the_others_have_their_turn() {
     let world = world(32, 256);
-    let flood = world.rogues(Rogue::Flood, 200, PUSH, 40_000);
+    let flood = world.start_rogues(Rogue::Flood, 200, PUSH, 40_000);
     std::thread::sleep(Duration::from_millis(1_500));
-    let reads = world.load(Plan::reads(50.0, 3));
+    let reads = world.start_load(Plan::reads(50.0, 3));
     served(&world, &reads, 0.5, TROUBLE);
     drop(flood);
     all_is_back(&world);
@@ -127,7 +127,7 @@
 fn clients_that_never_read_are_left_before_they_take_all_room() {
     let world = world(8, 1024);
     world.nodes.iter().for_each(|n| n.manner(|m| m.value = 60_000));
-    let mutes = world.rogues(Rogue::NeverReads, 150, READ, 0);
+    let mutes = world.start_rogues(Rogue::NeverReads, 150, READ, 0);
     let most = during(&world, TROUBLE);
     drop(mutes);
     assert!(most < 8 * MIB, "resident {most}");
@@ -137,9 +137,9 @@
 #[test]
 fn half_commands_on_every_connection_leave_room_for_whole_ones() {
     let world = world(8, 1024);
-    let halves = world.rogues(Rogue::Half, 400, PUSH, 65_000);
+    let halves = world.start_rogues(Rogue::Half, 400, PUSH, 65_000);
     std::thread::sleep(Duration::from_millis(500));
-    let reads = world.load(Plan::reads(100.0, 3));
+    let reads = world.start_load(Plan::reads(100.0, 3));
     let most = served(&world, &reads, 0.9, TROUBLE);
     drop(halves);
     assert!(most < 8 * MIB, "resident {most}");
@@ -152,14 +152,14 @@
     let world = alone(128, Limits { memory_mb: 8, sockets: 1024 }, &[]);
     world.nodes.iter().for_each(|n| n.manner(|m| m.value = 65_000));
     // Nothing can be passed on, as all lack their last byte; together they are more than the process may hold.
-    world.mood(Mood::Halting);
-    let stayers = world.rogues(Rogue::Stays, 500, READ, 0);
+    world.set_all_nodes_mode(Mood::Halting);
+    let stayers = world.start_rogues(Rogue::Stays, 500, READ, 0);
     let come = || world.nodes.iter().map(|n| n.taken()).sum::<u64>() > 200;
     assert!(until(LONG, come), "hits come to the nodes");
     during(&world, TROUBLE / 10);
     drop(stayers);
     all_is_back(&world);
-    let peak = world.program.sample().unwrap().peak;
+    let peak = world.program.usage().unwrap().peak_bytes;
     assert!(peak < 8 * MIB, "peak {peak}");
 }
 
@@ -169,8 +169,8 @@
 fn what_one_node_does_not_read_takes_nothing_from_the_others() {
     let world = world(8, 256);
     world.nodes[0].mood(Mood::Deaf);
-    let flood = world.rogues(Rogue::Flood, 40, PUSH, 40_000);
-    let reads = world.load(Plan::reads(100.0, 3));
+    let flood = world.start_rogues(Rogue::Flood, 40, PUSH, 40_000);
+    let reads = world.start_load(Plan::reads(100.0, 3));
     std::thread::sleep(Duration::from_millis(500));
     let most = served(&world, &reads, 0.9, TROUBLE);
     drop(flood);
@@ -182,12 +182,12 @@
 #[test]
 fn hits_that_could_wait_for_minutes_leave_nothing_behind_once_they_are_answered() {
     let world = world(8, 256);
-    let quick = world.patient_rogues(Rogue::Flood, 40, READ, 0, Duration::from_secs(600));
+    let quick = world.start_rogues_with_timeout(Rogue::Flood, 40, READ, 0, Duration::from_secs(600));
     std::thread::sleep(Duration::from_millis(500));
-    let before = world.program.sample().unwrap().resident;
+    let before = world.program.usage().unwrap().resident_bytes;
     let answered = || quick.answered.load(std::sync::atomic::Ordering::Relaxed);
     let first = answered();
-    let most = world.most_resident(|| answered() - first > 30_000);
+    let most = world.max_resident_bytes_until(|| answered() - first > 30_000);
     assert!(most < before + MIB, "resident {before}, then {most}");
 }
 
@@ -202,9 +202,9 @@
 #[test]
 fn a_list_of_ten_thousand_nodes_is_taken_as_far_as_there_is_room_and_hits_go_on() {
     let world = world(32, 256);
-    let reads = world.load(Plan::reads(100.0, 3));
+    let reads = world.start_load(Plan::reads(100.0, 3));
     world.discovery.list(strangers(0..10_000, "draining"));
-    let line = world.program.logged("are left out", LONG).unwrap();
+    let line = world.program.wait_for_log_line("are left out", LONG).unwrap();
     assert!(line.contains("nodes of the list"), "{line}");
     let most = served(&world, &reads, 0.95, TROUBLE / 2);
     assert!(most < 32 * MIB, "resident {most}");
@@ -214,7 +214,7 @@
 #[test]
 fn a_line_without_end_and_lists_ever_new_leave_memory_flat() {
     let world = world(8, 256);
-    let reads = world.load(Plan::reads(100.0, 3));
+    let reads = world.start_load(Plan::reads(100.0, 3));
     // A node's number is free again some seconds after it is gone: lists of a few hundred names a second.
     let round = |number: usize| {
         let ids = number * 100..number * 100 + 100;
@@ -223,7 +223,7 @@
         std::thread::sleep(Duration::from_millis(100));
     };
     (0..40).for_each(round);
-    let before = world.program.sample().unwrap().resident;
+    let before = world.program.usage().unwrap().resident_bytes;
     (40..80).for_each(round);
     world.discovery.say(Some("x".repeat(6 << 20)));
     let most = served(&world, &reads, 0.95, TROUBLE / 2);
@@ -233,7 +233,7 @@
 // What operators see and set.
 
 fn world_with(operator: &str) -> (Alone, std::path::PathBuf) {
-    let path = fresh_path("ini");
+    let path = unique_temp_path("ini");
     std::fs::write(&path, operator).unwrap();
     let args = ["--operator", path.to_str().unwrap()];
     (alone(2, Limits { memory_mb: 8, sockets: 256 }, &args), path)
@@ -243,10 +243,10 @@
 fn on_sigusr1_every_purpose_is_reported_with_what_it_holds() {
     let (world, _path) = world_with("[memory]\nreport_every = 0\n[log]\nlines_per_second = 1000\n");
     world.program.signal("USR1");
-    let line = world.program.logged("memory of the process", LONG).unwrap();
+    let line = world.program.wait_for_log_line("memory of the process", LONG).unwrap();
     assert!(line.contains("resident=") && line.contains("unaccounted="), "{line}");
     for purpose in ["clients", "halves", "owed", "log", "work.read", "work.book"] {
-        let line = world.program.logged(&format!("purpose=\"{purpose}\""), LONG).unwrap();
+        let line = world.program.wait_for_log_line(&format!("purpose=\"{purpose}\""), LONG).unwrap();
         let fields = ["held=", "cap=", "reserve=", "high=", "refusals=", "reclaimed=", "level=\"easy\""];
         assert!(fields.iter().all(|f| line.contains(f)), "{line}");
     }
@@ -256,7 +256,7 @@
 fn the_report_comes_by_itself_as_json_where_the_operator_wants_it() {
     let (world, _path) =
         world_with("[memory]\nreport_every = 250ms\n[log]\nformat = json\nlines_per_second = 1000\n");
-    let line = world.program.logged("memory by purpose", LONG).unwrap();
+    let line = world.program.wait_for_log_line("memory by purpose", LONG).unwrap();
     let event: serde_json::Value = serde_json::from_str(&line).unwrap();
     assert_eq!(event["purpose"], "clients");
     assert!(event["cap"].as_u64() > Some(0) && event["level"] == "easy", "{line}");
@@ -265,18 +265,18 @@
 #[test]
 fn a_change_of_level_is_told_and_a_reserve_under_pressure_stays_its_owners() {
     let (world, _path) = world_with("[memory.halves]\ncap = 8%\n");
-    let halves = world.rogues(Rogue::Half, 40, PUSH, 65_000);
-    let line = world.program.logged("memory level", LONG).unwrap();
+    let halves = world.start_rogues(Rogue::Half, 40, PUSH, 65_000);
+    let line = world.program.wait_for_log_line("memory level", LONG).unwrap();
     assert!(line.contains("purpose=\"halves\"") && line.contains("from=\"easy\""), "{line}");
     drop(halves);
-    let back = || world.program.logged("to=\"easy\"", LONG).unwrap();
+    let back = || world.program.wait_for_log_line("to=\"easy\"", LONG).unwrap();
     while !back().contains("purpose=\"halves\"") {}
 }
 
 /// Waits until a report tells that this purpose gave something back under pressure.
 fn gives_back(world: &World, purpose: &str) {
     let named = format!("memory by purpose purpose=\"{purpose}\"");
-    let line = || world.program.logged(&named, LONG).unwrap();
+    let line = || world.program.wait_for_log_line(&named, LONG).unwrap();
     assert!(until(LONG, || !line().contains(" reclaimed=0 ")), "{purpose}");
 }
 
@@ -286,7 +286,7 @@
 fn where_connections_run_short_idle_clients_are_closed_before_none_can_be_taken() {
     // 144 are the most that are taken; a connection that says nothing is left by itself after 2.5 s.
     let (world, _path) = world_with(OFTEN);
-    let _mutes = world.rogues(Rogue::Mute, 120, READ, 0);
+    let _mutes = world.start_rogues(Rogue::Mute, 120, READ, 0);
     gives_back(&world, "clients");
 }
 
@@ -304,13 +304,13 @@
     let (world, path) = world_with("[memory]\nreport_every = 0\n");
     std::fs::write(&path, "[memory]\nreport_every = 250ms\n[memory.hats]\ncap = 1%\n").unwrap();
     world.program.signal("HUP");
-    let line = world.program.logged("it is faulty", LONG).unwrap();
+    let line = world.program.wait_for_log_line("it is faulty", LONG).unwrap();
     assert!(line.contains("[memory.hats] is no section here") && line.contains("line 3"), "{line}");
     std::fs::write(&path, "[memory]\nreport_every = 250ms\n[log]\nformat = json\n").unwrap();
     world.program.signal("HUP");
-    let line = world.program.logged("needing a new start", LONG).unwrap();
+    let line = world.program.wait_for_log_line("needing a new start", LONG).unwrap();
     assert!(line.contains("[log] format"), "{line}");
-    world.program.logged("memory by purpose", LONG).unwrap();
+    world.program.wait_for_log_line("memory by purpose", LONG).unwrap();
 }
 
 // Many commands on one connection, with large values that wait for the first.
@@ -343,6 +343,6 @@
         }
     }
     assert!(values > 0, "no value at all");
-    assert!(world.program.sample().unwrap().resident < 8 * MIB);
+    assert!(world.program.usage().unwrap().resident_bytes < 8 * MIB);
     all_is_back(&world);
 }
--- a/crates/marshal/tests/sizes.rs
+++ b/crates/marshal/tests/sizes.rs
@@ -61,7 +61,10 @@
         }));
         change(config);
     };
-    Fleet(World::start_with(binary, 2, Limits { memory_mb, sockets: 512 }, &manner, &[], change).unwrap())
+    Fleet(
+        World::start_with_config(binary, 2, Limits { memory_mb, sockets: 512 }, &manner, &[], change)
+            .unwrap(),
+    )
 }
 
 impl Fleet {
@@ -112,7 +115,7 @@
     }
     let lines: Vec<String> = fleet.program.log.try_iter().collect();
     assert!(lines.iter().all(|line| !line.contains("left out") && !line.contains("no room")), "{lines:?}");
-    let resident = fleet.program.sample().unwrap().peak;
+    let resident = fleet.program.usage().unwrap().peak_bytes;
     assert!(resident < memory_mb << 20, "{resident} of {memory_mb} MiB");
 }
 
@@ -158,7 +161,7 @@
     for (nodes, marshals) in [16, 150, 350, 1_024].into_iter().flat_map(|n| [(n, 1), (n, 350)]) {
         let fleet = fleet(nodes, marshals, 56, |_| ());
         assert_eq!(fleet.served(200, "read"), 200);
-        let peak = fleet.program.sample().unwrap().peak >> 10;
+        let peak = fleet.program.usage().unwrap().peak_bytes >> 10;
         let threads = std::fs::read_dir(format!("/proc/{}/task", fleet.program.pid())).unwrap().count();
         println!("| {nodes} | {marshals} | {peak} | {threads} |");
     }
--- a/crates/marshal/tests/sockets.rs
+++ b/crates/marshal/tests/sockets.rs
@@ -14,7 +14,7 @@
 use stonescale_lab::discovery::{Discovery, Entry};
 use stonescale_lab::node::{Act, Manner, Node};
 use stonescale_lab::platform::{News, Platform};
-use stonescale_lab::program::{Program, fresh_path};
+use stonescale_lab::program::{Program, unique_temp_path};
 use stonescale_lab::stage::{next, until};
 
 /// Longer than anything here takes; a story that waits for so long has failed.
@@ -104,7 +104,7 @@
         change(&mut config);
         let env = [("NODE_DISCOVERY", &*discovery.addr.to_string())];
         let binary = Path::new(env!("CARGO_BIN_EXE_stonescale"));
-        let program = Program::start_in(binary, &config, &[], &env).unwrap();
+        let program = Program::start_with_env(binary, &config, &[], &env).unwrap();
         Marshal { program, config, discovery, platform }
     }
 
@@ -116,13 +116,13 @@
 
     /// Has it read `text` as its configuration; waits for the log to say `word`.
     fn reread(&self, text: &str, word: &str) -> String {
-        std::fs::write(&self.program.config, text).unwrap();
+        std::fs::write(&self.program.config_path, text).unwrap();
         self.program.signal("HUP");
         self.logged(word)
     }
 
     fn logged(&self, word: &str) -> String {
-        self.program.logged(word, LONG).unwrap()
+        self.program.wait_for_log_line(word, LONG).unwrap()
     }
 }
 
@@ -489,7 +489,7 @@
     assert_eq!([idle.answer(), busy.answer()], ["", ""]);
     let mut end = None;
     assert!(until(LONG, || {
-        end = marshal.program.ended();
+        end = marshal.program.exit_status();
         end.is_some()
     }));
     assert!(end.unwrap().success());
@@ -552,7 +552,7 @@
 
 fn ends(command: &str, change: impl Fn(&mut Value)) -> Output {
     let (addr, known) = (([127, 0, 0, 1], 9).into(), json!({"version": 3, "full": true, "servers": []}));
-    let (mut config, path) = (config(known, addr, addr), fresh_path("json"));
+    let (mut config, path) = (config(known, addr, addr), unique_temp_path("json"));
     change(&mut config);
     std::fs::write(&path, config.to_string()).unwrap();
     let mut program = Command::new(env!("CARGO_BIN_EXE_stonescale"));
