--- a/crates/lab/src/soak.rs
+++ b/crates/lab/src/soak.rs
@@ -1,5 +1,5 @@
-//! A long run among troubles, and the verdict on what a marshal's memory did: each purpose is to be flat after the
-//! first cycles, and what is held is to be accounted for.
+//! Soak test: runs a marshal through repeated cycles of faults and judges its memory. After the warm-up cycles each
+//! purpose must stay flat, and the resident size must be accounted for by the purposes that the marshal reports.
 
 use crate::faults::{self, Timetable, Trouble};
 use crate::load::{Load, Plan, Tally};
@@ -21,233 +21,287 @@
 use stonescale_operator::{Sheet, sheet};
 
 const MIB: f64 = 1024.0 * 1024.0;
-/// How often the world is looked after.
-const TICK: Duration = Duration::from_millis(50);
-/// What may be unaccounted for at least: what the process holds before it serves anyone, and some more.
-const UNACCOUNTED: f64 = 4.0 * MIB;
+/// Interval at which the run applies troubles, advances a release and reads the marshal's log.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Unaccounted memory up to this size is always tolerated: it covers what the process holds before it serves any client,
+/// with some margin.
+const UNACCOUNTED_FLOOR_BYTES: f64 = 4.0 * MIB;
 
-/// What a soak is, as its file states it.
+/// Settings of a soak test, read from an INI file.
 #[derive(Clone, Debug)]
 pub struct Scenario {
     pub seed: u64,
     pub nodes: usize,
     pub limits: Limits,
-    /// Time in which nodes close an idle connection, as the marshal is told: what a trouble leaves open is to be closed
-    /// soon after it, or the order of troubles shows as noise in what is looked at while it is quiet.
+    /// Time after which nodes close an idle connection, as stated in the marshal's settings. Connections that a trouble
+    /// leaves open must close soon after it; otherwise the order of the troubles shows up as noise in the samples that
+    /// are taken while no trouble is on.
     pub keepalive: Duration,
-    /// Usual hits a second, and clients of each kind that misbehave.
-    pub rate: f64,
-    pub rogues: usize,
-    pub phase: Duration,
+    /// Hits per second of well-behaved clients.
+    pub hits_per_second: f64,
+    /// Number of misbehaving clients while a trouble of clients is on.
+    pub rogues_per_trouble: usize,
+    /// Length of a phase, which has one trouble in its first half and none in the second.
+    pub phase_length: Duration,
     pub cycles: usize,
-    /// First cycles that are left out of the verdict.
-    pub warm_up: usize,
-    pub sample: Duration,
+    /// Number of cycles at the start that are excluded from the verdict.
+    pub warm_up_cycles: usize,
+    /// Interval of the marshal's memory reports.
+    pub sample_interval: Duration,
     pub troubles: Vec<Trouble>,
-    /// Bytes a second by which a purpose may seem to grow, and the process as a whole.
-    pub purposes: f64,
-    pub resident: f64,
-    pub descriptors: f64,
-    /// Part of the resident size that may be unaccounted for, where that is more than 4 MiB.
-    pub unaccounted: f64,
+    /// Tolerated growth of a purpose, in bytes per second; compared with the upper bound of the slope.
+    pub max_purpose_slope: f64,
+    /// Tolerated growth of the resident size and of its unaccounted part, in bytes per second.
+    pub max_resident_slope: f64,
+    /// Tolerated growth of the number of open descriptors, per second.
+    pub max_descriptor_slope: f64,
+    /// Tolerated unaccounted share of the resident size, 0 to 1; applies where more than 4 MiB are unaccounted for.
+    pub max_unaccounted_share: f64,
 }
 
-fn number<T: std::str::FromStr + PartialOrd + Copy + std::fmt::Display + 'static>(
-    least: T, most: T,
+fn parse_number<T: std::str::FromStr + PartialOrd + Copy + std::fmt::Display + 'static>(
+    min: T, max: T,
 ) -> impl Fn(&str) -> Result<T, String> {
     move |text| {
-        let number = text.parse().ok().filter(|n: &T| *n >= least && *n <= most);
-        number.ok_or_else(|| format!("is not a number from {least} to {most}"))
+        let number = text.parse().ok().filter(|n: &T| *n >= min && *n <= max);
+        number.ok_or_else(|| format!("is not a number from {min} to {max}"))
     }
 }
 
-fn troubles(text: &str) -> Result<Vec<Trouble>, String> {
+fn parse_troubles(text: &str) -> Result<Vec<Trouble>, String> {
     if text == "all" {
         return Ok(faults::ALL.to_vec());
     }
-    let named = |name: &str| Trouble::named(name).ok_or_else(|| format!("names an unknown trouble '{name}'"));
-    text.split(',').map(|name| named(name.trim())).collect()
+    let parse = |name: &str| Trouble::named(name).ok_or_else(|| format!("names an unknown trouble '{name}'"));
+    text.split(',').map(|name| parse(name.trim())).collect()
 }
 
-fn duration(span: Span) -> Duration {
+fn to_duration(span: Span) -> Duration {
     Duration::from_nanos(span.as_nanos())
 }
 
 impl Scenario {
+    /// Reads a scenario file.
     pub fn read(path: &Path) -> Result<Self, String> {
         Self::from_settings(Sheet::read(path)?)
     }
 
+    /// Takes a scenario from parsed settings; a wrong value or an unknown key is an error that names its line.
     pub fn from_settings(mut sheet: Sheet) -> Result<Self, String> {
-        let span = |sheet: &mut Sheet, key, default| {
-            sheet.take("soak", key, default, sheet::span, |s| sheet::shown(*s)).map(duration)
+        let take_duration = |sheet: &mut Sheet, key, default| {
+            sheet.take("soak", key, default, sheet::span, |s| sheet::shown(*s)).map(to_duration)
         };
-        let phase = span(&mut sheet, "phase", Span::millis(4_000))?;
-        let sample = span(&mut sheet, "sample", Span::millis(500))?;
-        let keepalive = span(&mut sheet, "keepalive", Span::millis(3_000))?;
-        if phase.is_zero() || sample.is_zero() {
-            return Err(sheet.wrong("soak", Some("phase"), "and sample must be longer than nothing"));
+        let phase_length = take_duration(&mut sheet, "phase", Span::millis(4_000))?;
+        let sample_interval = take_duration(&mut sheet, "sample", Span::millis(500))?;
+        let keepalive = take_duration(&mut sheet, "keepalive", Span::millis(3_000))?;
+        if phase_length.is_zero() || sample_interval.is_zero() {
+            return Err(sheet.wrong("soak", Some("phase"), "and sample must be greater than zero"));
         }
         let scenario = Scenario {
-            phase,
-            sample,
+            phase_length,
+            sample_interval,
             keepalive,
-            seed: sheet.take("soak", "seed", 1, number(0, u64::MAX), u64::to_string)?,
-            nodes: sheet.take("soak", "nodes", 6, number(1, 200), usize::to_string)?,
+            seed: sheet.take("soak", "seed", 1, parse_number(0, u64::MAX), u64::to_string)?,
+            nodes: sheet.take("soak", "nodes", 6, parse_number(1, 200), usize::to_string)?,
             limits: Limits {
-                memory_mb: sheet.take("soak", "memory_mb", 32, number(1, 65_536), usize::to_string)?,
-                sockets: sheet.take("soak", "sockets", 512, number(32, 65_536), usize::to_string)?,
+                memory_mb: sheet.take("soak", "memory_mb", 32, parse_number(1, 65_536), usize::to_string)?,
+                sockets: sheet.take("soak", "sockets", 512, parse_number(32, 65_536), usize::to_string)?,
             },
-            rate: sheet.take("soak", "rate", 200.0, number(1.0, 100_000.0), f64::to_string)?,
-            rogues: sheet.take("soak", "rogues", 40, number(1, 10_000), usize::to_string)?,
-            cycles: sheet.take("soak", "cycles", 2, number(1, 10_000), usize::to_string)?,
-            warm_up: sheet.take("soak", "warm_up", 1, number(0, 10_000), usize::to_string)?,
-            troubles: sheet.take("soak", "troubles", faults::ALL.to_vec(), troubles, |t| {
-                t.iter().map(|t| t.name()).collect::<Vec<_>>().join(", ")
+            hits_per_second: sheet.take(
+                "soak",
+                "rate",
+                200.0,
+                parse_number(1.0, 100_000.0),
+                f64::to_string,
+            )?,
+            rogues_per_trouble: sheet.take(
+                "soak",
+                "rogues",
+                40,
+                parse_number(1, 10_000),
+                usize::to_string,
+            )?,
+            cycles: sheet.take("soak", "cycles", 2, parse_number(1, 10_000), usize::to_string)?,
+            warm_up_cycles: sheet.take("soak", "warm_up", 1, parse_number(0, 10_000), usize::to_string)?,
+            troubles: sheet.take("soak", "troubles", faults::ALL.to_vec(), parse_troubles, |troubles| {
+                troubles.iter().map(|t| t.name()).collect::<Vec<_>>().join(", ")
+            })?,
+            max_purpose_slope: sheet.take(
+                "tolerance",
+                "purposes",
+                500.0,
+                parse_number(0.0, 1e9),
+                f64::to_string,
+            )?,
+            max_resident_slope: sheet.take(
+                "tolerance",
+                "resident",
+                4_000.0,
+                parse_number(0.0, 1e9),
+                f64::to_string,
+            )?,
+            max_descriptor_slope: sheet.take(
+                "tolerance",
+                "descriptors",
+                0.2,
+                parse_number(0.0, 1e9),
+                f64::to_string,
+            )?,
+            max_unaccounted_share: sheet.take("tolerance", "unaccounted", 0.15, sheet::part, |share| {
+                format!("{:.0}%", share * 100.0)
             })?,
-            purposes: sheet.take("tolerance", "purposes", 500.0, number(0.0, 1e9), f64::to_string)?,
-            resident: sheet.take("tolerance", "resident", 4_000.0, number(0.0, 1e9), f64::to_string)?,
-            descriptors: sheet.take("tolerance", "descriptors", 0.2, number(0.0, 1e9), f64::to_string)?,
-            unaccounted: sheet
-                .take("tolerance", "unaccounted", 0.15, sheet::part, |p| format!("{:.0}%", p * 100.0))?,
         };
         sheet.finish()?;
         Ok(scenario)
     }
 }
 
-/// One row of the verdict.
+/// One row of the report: the trend of a purpose or of a figure of the process.
 #[derive(Clone, Debug)]
 pub struct ReportRow {
     pub name: String,
-    /// While no trouble is on; the most is that of the whole run.
+    /// Trend of the samples taken while no trouble is on; the maximum is that of the whole run.
     pub trend: Trend,
+    /// Tolerated slope, in units per second.
     pub tolerance: f64,
-    /// The cap, where it has one.
+    /// The purpose's cap in bytes, if it has one.
     pub cap: Option<f64>,
 }
 
-/// What a soak showed.
+/// Results of a soak test.
 #[derive(Clone, Debug)]
 pub struct Report {
     pub rows: Vec<ReportRow>,
-    /// Mean share of the resident size that is unaccounted for, and the most bytes.
-    pub unaccounted: (f64, f64),
+    /// Unaccounted share of the resident size (0 to 1, mean) and the maximum of unaccounted bytes.
+    pub unaccounted_share_and_max_bytes: (f64, f64),
     pub max_resident_bytes: f64,
-    pub limit: f64,
+    pub memory_limit_bytes: f64,
+    /// Results of the well-behaved clients, by path group.
     pub tallies: Vec<Tally>,
+    /// Hits sent by misbehaving clients.
     pub rogue_hits: u64,
-    pub builds: u64,
-    pub seconds: f64,
-    pub cpu: Duration,
-    /// Broken rules, as a text.
-    pub broken: String,
-    /// What is not as it should be; empty where all is.
+    /// Builds offered besides the first one.
+    pub builds_offered: u64,
+    pub duration_seconds: f64,
+    /// Processor time of the marshal.
+    pub cpu_time: Duration,
+    /// Violations of the five rules as a text; empty where there were none.
+    pub rule_violations: String,
+    /// Missed tolerances and violations, one text each; the soak passes if there are none.
     pub missed_tolerances: Vec<String>,
 }
 
+/// Samples (seconds, value) by name.
 type Series = BTreeMap<String, Vec<(f64, f64)>>;
 
-/// Everything that is under way in a soak.
-struct Run<'a> {
+/// State of a running soak test.
+struct SoakRun<'a> {
     scenario: &'a Scenario,
     world: World,
     rogues: Option<Rogues>,
     rogue_hits: u64,
     rollout: Option<Rollout>,
-    build: u16,
-    builds: u64,
-    usual: Manner,
+    /// The build that was released last.
+    released_build: u16,
+    builds_offered: u64,
+    /// How nodes work while no trouble changes it.
+    normal_manner: Manner,
     series: Series,
-    /// The same, while no trouble is on: what is held for good stands out from what comes and goes.
-    quiet: Series,
-    /// Since when it is quiet.
+    /// Samples taken while no trouble is on: only what is held permanently shows in them.
+    quiet_series: Series,
+    /// Start of the present time without a trouble, in seconds since the start of the run.
     quiet_since: Option<f64>,
+    /// Caps in bytes, by purpose.
     caps: BTreeMap<String, f64>,
 }
 
-/// Runs a soak against this binary; `told` is called at every look with the time, the length and the trouble that is on.
+/// Runs a soak test against this binary and writes samples, plots and report to `out`, if given. `on_progress` is called
+/// at every poll with the elapsed time, the total length and the trouble of the present phase.
 pub fn run(
-    scenario: &Scenario, binary: &Path, out: Option<&Path>, mut told: impl FnMut(Duration, Duration, Trouble),
+    scenario: &Scenario, binary: &Path, out: Option<&Path>,
+    mut on_progress: impl FnMut(Duration, Duration, Trouble),
 ) -> Result<Report, String> {
-    let operator = unique_temp_path("ini");
-    let sample = sheet::shown(Span::nanos(scenario.sample.as_nanos() as u64));
-    let text = format!("[log]\nformat = json\nlines_per_second = 10000\n[memory]\nreport_every = {sample}\n");
-    std::fs::write(&operator, text).map_err(|e| format!("{}: {e}", operator.display()))?;
-    let usual = Manner { cores: 8, ..Manner::default() };
-    let args = ["--operator", operator.to_str().unwrap_or_default()];
+    let operator_file = unique_temp_path("ini");
+    let report_every = sheet::shown(Span::nanos(scenario.sample_interval.as_nanos() as u64));
+    let text =
+        format!("[log]\nformat = json\nlines_per_second = 10000\n[memory]\nreport_every = {report_every}\n");
+    std::fs::write(&operator_file, text).map_err(|e| format!("{}: {e}", operator_file.display()))?;
+    let normal_manner = Manner { cores: 8, ..Manner::default() };
+    let args = ["--operator", operator_file.to_str().unwrap_or_default()];
     let keepalive = scenario.keepalive.as_nanos() as u64;
     let change = |config: &mut Value| config["settings"]["limits"]["keepalive_ns"] = keepalive.into();
-    let world = World::start_with_config(binary, scenario.nodes, scenario.limits, &usual, &args, change)?;
-    let load = world.start_load(Plan::mixed(scenario.rate, scenario.seed));
-    let table = Timetable::draw(&scenario.troubles, scenario.cycles, scenario.phase, scenario.seed);
-    let mut run = Run {
+    let world =
+        World::start_with_config(binary, scenario.nodes, scenario.limits, &normal_manner, &args, change)?;
+    let load = world.start_load(Plan::mixed(scenario.hits_per_second, scenario.seed));
+    let schedule = Timetable::draw(&scenario.troubles, scenario.cycles, scenario.phase_length, scenario.seed);
+    let mut run = SoakRun {
         scenario,
         world,
         rogues: None,
         rogue_hits: 0,
         rollout: None,
-        build: FIRST_BUILD,
-        builds: 0,
-        usual,
+        released_build: FIRST_BUILD,
+        builds_offered: 0,
+        normal_manner,
         series: Series::new(),
-        quiet: Series::new(),
+        quiet_series: Series::new(),
         quiet_since: None,
         caps: BTreeMap::new(),
     };
-    let mut before = None;
+    let mut previous = None;
     let start = run.world.stage.clock.elapsed();
     loop {
-        let at = run.world.stage.clock.elapsed() - start;
-        let Some((phase, trouble, on)) = table.at(at) else { break };
-        if before != Some((phase, on)) {
-            before = Some((phase, on));
-            run.settle();
-            run.quiet_since = (!on).then_some(at.as_secs_f64());
-            if on {
-                run.trouble(trouble, at);
+        let elapsed = run.world.stage.clock.elapsed() - start;
+        let Some((phase, trouble, active)) = schedule.at(elapsed) else { break };
+        if previous != Some((phase, active)) {
+            previous = Some((phase, active));
+            run.end_trouble();
+            run.quiet_since = (!active).then_some(elapsed.as_secs_f64());
+            if active {
+                run.start_trouble(trouble, elapsed);
             }
         }
-        if trouble == Trouble::Restarts && on {
-            run.restart(at);
+        if trouble == Trouble::Restarts && active {
+            run.restart_due_node(elapsed);
         }
-        run.look(at);
-        told(at, table.length(), trouble);
+        run.poll(elapsed);
+        on_progress(elapsed, schedule.length(), trouble);
         if let Some(status) = run.world.program.exit_status() {
-            return Err(format!("the marshal ended in the middle of it, {status}"));
+            return Err(format!("the marshal exited during the soak: {status}"));
         }
-        std::thread::sleep(TICK);
+        std::thread::sleep(POLL_INTERVAL);
     }
-    run.settle();
-    let report = run.verdict(&load, &table);
+    run.end_trouble();
+    let report = run.evaluate(&load, &schedule);
     if let Some(out) = out {
         std::fs::create_dir_all(out).map_err(|e| format!("{}: {e}", out.display()))?;
-        run.write(out, &report)?;
+        run.write_files(out, &report)?;
     }
-    let _ = std::fs::remove_file(&operator);
+    let _ = std::fs::remove_file(&operator_file);
     Ok(report)
 }
 
-impl Run<'_> {
-    /// Ends the trouble of the phase before.
-    fn settle(&mut self) {
+impl SoakRun<'_> {
+    /// Ends the trouble of the previous phase.
+    fn end_trouble(&mut self) {
         if let Some(rogues) = self.rogues.take() {
             self.rogue_hits += rogues.sent.load(std::sync::atomic::Ordering::Relaxed);
         }
         self.world.set_all_nodes_mode(Mood::Well);
         self.world.discovery.down(false);
         self.world.platform.silent(false);
-        let (build, usual) = (self.build, self.usual.clone());
-        let bad = self.rollout.as_ref().map(|r| r.build).filter(|b| *b != build);
-        if bad.is_none() {
-            self.world.nodes.iter().for_each(|n| n.manner(|m| *m = usual.clone()));
+        let (released, normal) = (self.released_build, self.normal_manner.clone());
+        // Not while a release is under way: its nodes keep the manner of their build.
+        let offered = self.rollout.as_ref().map(|r| r.build).filter(|b| *b != released);
+        if offered.is_none() {
+            self.world.nodes.iter().for_each(|n| n.manner(|m| *m = normal.clone()));
         }
     }
 
-    fn trouble(&mut self, trouble: Trouble, at: Duration) {
-        let (world, many) = (&self.world, self.scenario.rogues);
+    fn start_trouble(&mut self, trouble: Trouble, elapsed: Duration) {
+        let (world, rogue_count) = (&self.world, self.scenario.rogues_per_trouble);
         let half = world.nodes.len().div_ceil(2);
-        let rogues = |manner, group, body| Some(world.start_rogues(manner, many, group, body));
+        let rogues = |manner, group, body| Some(world.start_rogues(manner, rogue_count, group, body));
         let change = |change: fn(&mut Manner)| world.nodes.iter().for_each(|n| n.manner(change));
         match trouble {
             Trouble::Calm | Trouble::Restarts => {}
@@ -270,60 +324,69 @@
             }
             Trouble::GoodBuild | Trouble::BadBuild if self.rollout.is_none() => {
                 let fails = if trouble == Trouble::BadBuild { 0.4 } else { 0.0 };
-                let manner = Manner { fails, ..self.usual.clone() };
-                let part = self.scenario.phase / 14;
+                let manner = Manner { fails, ..self.normal_manner.clone() };
+                // Three stages, each with one start and one stage time, take 9/14 of a phase.
+                let part = self.scenario.phase_length / 14;
                 let course = Course {
                     nodes: self.scenario.nodes,
                     stages: vec![0.1, 0.35, 1.0],
                     start: part,
                     stage: part * 2,
                 };
-                self.builds += 1;
-                let build = FIRST_BUILD + self.builds as u16;
-                self.rollout = Some(Rollout::new(build, self.build, course, at, manner, self.usual.clone()));
+                self.builds_offered += 1;
+                let build = FIRST_BUILD + self.builds_offered as u16;
+                self.rollout = Some(Rollout::new(
+                    build,
+                    self.released_build,
+                    course,
+                    elapsed,
+                    manner,
+                    self.normal_manner.clone(),
+                ));
             }
             Trouble::GoodBuild | Trouble::BadBuild => {}
         }
     }
 
-    /// Restarts one node after the other, spread over the first half of the phase.
-    fn restart(&mut self, at: Duration) {
-        let (phase, nodes) = (self.scenario.phase, self.world.nodes.len().max(1) as u32);
-        let each = phase / 2 / nodes;
-        let within = Duration::from_nanos((at.as_nanos() % phase.as_nanos()) as u64);
-        if within.as_nanos() % each.as_nanos().max(1) < TICK.as_nanos() {
-            let node =
-                &self.world.nodes[(within.as_nanos() / each.as_nanos().max(1)) as usize % nodes as usize];
+    /// Restarts the node whose turn it is: one after another, spread evenly over the first half of the phase.
+    fn restart_due_node(&mut self, elapsed: Duration) {
+        let (phase_length, nodes) = (self.scenario.phase_length, self.world.nodes.len().max(1) as u32);
+        let interval = phase_length / 2 / nodes;
+        let in_phase = Duration::from_nanos((elapsed.as_nanos() % phase_length.as_nanos()) as u64);
+        if in_phase.as_nanos() % interval.as_nanos().max(1) < POLL_INTERVAL.as_nanos() {
+            let node = &self.world.nodes
+                [(in_phase.as_nanos() / interval.as_nanos().max(1)) as usize % nodes as usize];
             node.restart();
             let now_ms = self.world.stage.clock.now() - stonescale::state::LONG_AGO;
             let ids = [node.name.clone()];
-            self.world.discovery.change(&ids, |e| e.started_ms = now_ms.as_nanos() / 1_000_000);
+            self.world.discovery.change(&ids, |entry| entry.started_ms = now_ms.as_nanos() / 1_000_000);
         }
     }
 
-    fn note(&mut self, name: &str, at: f64, value: f64) {
-        // What a report tells may be as old as the last look, and connections take a moment to close.
-        let settled = self.scenario.phase.as_secs_f64() / 8.0;
-        let quiet = self.quiet_since.is_some_and(|since| at - since >= settled);
-        for series in std::iter::once(&mut self.series).chain(quiet.then_some(&mut self.quiet)) {
+    fn record(&mut self, name: &str, at: f64, value: f64) {
+        // A report may be as old as the last poll, and connections take a moment to close: samples count as quiet
+        // only after an eighth of the phase.
+        let settling_seconds = self.scenario.phase_length.as_secs_f64() / 8.0;
+        let quiet = self.quiet_since.is_some_and(|since| at - since >= settling_seconds);
+        for series in std::iter::once(&mut self.series).chain(quiet.then_some(&mut self.quiet_series)) {
             match series.get_mut(name) {
-                Some(row) => row.push((at, value)),
+                Some(samples) => samples.push((at, value)),
                 None => drop(series.insert(name.to_owned(), vec![(at, value)])),
             }
         }
     }
 
-    /// Looks after the release, and reads what the marshal reports.
-    fn look(&mut self, at: Duration) {
+    /// Advances the release, and reads the memory reports in the marshal's log.
+    fn poll(&mut self, elapsed: Duration) {
         if let Some(mut rollout) = self.rollout.take() {
-            rollout.poll(&mut self.world, at);
+            rollout.poll(&mut self.world, elapsed);
             match rollout.outcome() {
                 None => self.rollout = Some(rollout),
-                Some(true) => self.build = rollout.build,
+                Some(true) => self.released_build = rollout.build,
                 Some(false) => {}
             }
         }
-        let at = at.as_secs_f64();
+        let at = elapsed.as_secs_f64();
         while let Ok(line) = self.world.program.log.try_recv() {
             let Ok(event) = serde_json::from_str::<Value>(&line) else { continue };
             let number = |key: &str| event[key].as_f64();
@@ -332,17 +395,17 @@
                     let (Some(purpose), Some(held)) = (event["purpose"].as_str(), number("held")) else {
                         continue;
                     };
-                    self.note(purpose, at, held);
+                    self.record(purpose, at, held);
                     self.caps.insert(purpose.to_owned(), number("cap").unwrap_or(0.0));
                 }
                 Some("memory of the process") => {
                     for key in ["resident", "unaccounted"] {
                         if let Some(value) = number(key) {
-                            self.note(key, at, value);
+                            self.record(key, at, value);
                         }
                     }
-                    if let Some(sample) = self.world.program.usage() {
-                        self.note("descriptors", at, sample.descriptors as f64);
+                    if let Some(usage) = self.world.program.usage() {
+                        self.record("descriptors", at, usage.descriptors as f64);
                     }
                 }
                 _ => {}
@@ -350,83 +413,86 @@
         }
     }
 
-    fn verdict(&self, load: &Load, table: &Timetable) -> Report {
+    /// Judges the samples after the warm-up cycles against the scenario's tolerances.
+    fn evaluate(&self, load: &Load, schedule: &Timetable) -> Report {
         let scenario = self.scenario;
-        let cycle = scenario.phase.as_secs_f64() * scenario.troubles.len() as f64;
-        let from = cycle * scenario.warm_up as f64;
-        // A block is a cycle: each has all troubles in it.
-        let block = cycle;
+        let cycle_seconds = scenario.phase_length.as_secs_f64() * scenario.troubles.len() as f64;
+        let from = cycle_seconds * scenario.warm_up_cycles as f64;
+        // A block is a whole cycle, so that every block has all troubles in it.
+        let block_seconds = cycle_seconds;
         let mut rows = Vec::new();
         let mut missed_tolerances = Vec::new();
         for (name, all) in &self.series {
-            let series = self.quiet.get(name).map_or(&[][..], Vec::as_slice);
-            let after: Vec<_> = series.iter().copied().filter(|s| s.0 >= from).collect();
-            let most = all.iter().map(|s| s.1).fold(0.0, f64::max);
-            let Some(trend) = Trend::fit(&after, block) else {
+            let quiet = self.quiet_series.get(name).map_or(&[][..], Vec::as_slice);
+            let after_warm_up: Vec<_> = quiet.iter().copied().filter(|s| s.0 >= from).collect();
+            let max = all.iter().map(|s| s.1).fold(0.0, f64::max);
+            let Some(trend) = Trend::fit(&after_warm_up, block_seconds) else {
                 missed_tolerances.push(format!("{name}: too few samples for a trend"));
                 continue;
             };
             let tolerance = match name.as_str() {
-                "resident" | "unaccounted" => scenario.resident,
-                "descriptors" => scenario.descriptors,
-                _ => scenario.purposes,
+                "resident" | "unaccounted" => scenario.max_resident_slope,
+                "descriptors" => scenario.max_descriptor_slope,
+                _ => scenario.max_purpose_slope,
             };
             let cap = self.caps.get(name).copied();
             if !trend.is_flat(tolerance) {
-                let (slope, bound) = (trend.slope, trend.slope_margin);
-                let sure = if trend.is_growing(tolerance) { "grows" } else { "is not shown to be flat" };
-                missed_tolerances
-                    .push(format!("{name} {sure}: {slope:.1} +- {bound:.1} a second, {tolerance} tolerated"));
+                let (slope, margin) = (trend.slope, trend.slope_margin);
+                let finding = if trend.is_growing(tolerance) { "grows" } else { "is not shown to be flat" };
+                missed_tolerances.push(format!(
+                    "{name} {finding}: {slope:.1} +- {margin:.1} per second, {tolerance} tolerated"
+                ));
             }
-            if cap.is_some_and(|cap| most > cap) {
-                missed_tolerances.push(format!("{name} passed its cap: {most}"));
+            if cap.is_some_and(|cap| max > cap) {
+                missed_tolerances.push(format!("{name} exceeded its cap: {max}"));
             }
-            rows.push(ReportRow { name: name.clone(), trend: Trend { max: most, ..trend }, tolerance, cap });
+            rows.push(ReportRow { name: name.clone(), trend: Trend { max, ..trend }, tolerance, cap });
         }
-        let figures = |name: &str| {
+        let values_after_warm_up = |name: &str| {
             let series = self.series.get(name).map_or(&[][..], Vec::as_slice);
             series.iter().filter(|s| s.0 >= from).map(|s| s.1).collect::<Vec<_>>()
         };
-        let (resident, unaccounted) = (figures("resident"), figures("unaccounted"));
+        let (resident, unaccounted) = (values_after_warm_up("resident"), values_after_warm_up("unaccounted"));
         let max_resident_bytes = resident.iter().copied().fold(0.0, f64::max);
-        let share = unaccounted.iter().sum::<f64>() / resident.iter().sum::<f64>().max(1.0);
-        let most = unaccounted.iter().copied().fold(0.0, f64::max);
-        let limit = scenario.limits.memory_mb as f64 * MIB;
+        let unaccounted_share = unaccounted.iter().sum::<f64>() / resident.iter().sum::<f64>().max(1.0);
+        let max_unaccounted = unaccounted.iter().copied().fold(0.0, f64::max);
+        let memory_limit = scenario.limits.memory_mb as f64 * MIB;
         if resident.is_empty() {
-            missed_tolerances.push("the marshal reported nothing".into());
+            missed_tolerances.push("the marshal sent no memory report".into());
         }
-        if share > scenario.unaccounted && most > UNACCOUNTED {
+        if unaccounted_share > scenario.max_unaccounted_share && max_unaccounted > UNACCOUNTED_FLOOR_BYTES {
             missed_tolerances.push(format!(
-                "{:.0} % of the memory is unaccounted for, {most:.0} bytes at most",
-                share * 100.0
+                "{:.0} % of the memory is unaccounted for, {max_unaccounted:.0} bytes at most",
+                unaccounted_share * 100.0
             ));
         }
-        if max_resident_bytes > limit {
-            missed_tolerances
-                .push(format!("{max_resident_bytes:.0} bytes were resident, over the limit of {limit:.0}"));
+        if max_resident_bytes > memory_limit {
+            missed_tolerances.push(format!(
+                "{max_resident_bytes:.0} bytes were resident, more than the limit of {memory_limit:.0}"
+            ));
         }
-        let broken = self.world.books.verdict();
-        if !broken.is_empty() {
-            missed_tolerances.push(format!("rules broke: {broken}"));
+        let rule_violations = self.world.books.verdict();
+        if !rule_violations.is_empty() {
+            missed_tolerances.push(format!("rule violations: {rule_violations}"));
         }
-        let cpu = self.world.program.usage().map_or(Duration::ZERO, |s| s.cpu_time);
+        let cpu_time = self.world.program.usage().map_or(Duration::ZERO, |usage| usage.cpu_time);
         Report {
             rows,
-            unaccounted: (share, most),
+            unaccounted_share_and_max_bytes: (unaccounted_share, max_unaccounted),
             max_resident_bytes,
-            limit,
+            memory_limit_bytes: memory_limit,
             tallies: load.finish(),
             rogue_hits: self.rogue_hits,
-            builds: self.builds,
-            seconds: table.length().as_secs_f64(),
-            cpu,
-            broken,
+            builds_offered: self.builds_offered,
+            duration_seconds: schedule.length().as_secs_f64(),
+            cpu_time,
+            rule_violations,
             missed_tolerances,
         }
     }
 
-    /// Leaves the samples, the plots and the table in a folder.
-    fn write(&self, out: &Path, report: &Report) -> Result<(), String> {
+    /// Writes the samples, the plots and the report to a folder.
+    fn write_files(&self, out: &Path, report: &Report) -> Result<(), String> {
         let fault = |e: std::io::Error| format!("{}: {e}", out.display());
         let mut csv = String::from("seconds,name,value\n");
         for (name, series) in &self.series {
@@ -436,36 +502,43 @@
         }
         std::fs::write(out.join("samples.csv"), csv).map_err(fault)?;
         std::fs::write(out.join("report.md"), report.table()).map_err(fault)?;
-        let kib = |names: &dyn Fn(&str) -> bool| -> Vec<plot::NamedSeries> {
-            let fits = self.series.iter().filter(|(name, _)| names(name));
-            fits.map(|(name, s)| (name.clone(), s.iter().map(|(t, v)| (*t, v / 1024.0)).collect())).collect()
+        let series_in_kib = |selects: &dyn Fn(&str) -> bool| -> Vec<plot::NamedSeries> {
+            let selected = self.series.iter().filter(|(name, _)| selects(name));
+            selected
+                .map(|(name, s)| (name.clone(), s.iter().map(|(t, v)| (*t, v / 1024.0)).collect()))
+                .collect()
         };
-        let process = ["resident", "unaccounted"];
-        let purposes = kib(&|name| !process.contains(&name) && name != "descriptors");
+        let of_process = ["resident", "unaccounted"];
+        let purposes = series_in_kib(&|name| !of_process.contains(&name) && name != "descriptors");
         plot::draw(&out.join("purposes.svg"), "Held by purpose", "KiB", &purposes)?;
-        plot::draw(&out.join("process.svg"), "The process", "KiB", &kib(&|name| process.contains(&name)))
+        plot::draw(
+            &out.join("process.svg"),
+            "The process",
+            "KiB",
+            &series_in_kib(&|name| of_process.contains(&name)),
+        )
     }
 }
 
 impl Report {
-    /// The verdict as a table in Markdown.
+    /// The report as Markdown: totals, a table of trends, and the missed tolerances.
     pub fn table(&self) -> String {
         let mut text = String::new();
         let sum = |f: fn(&Tally) -> u64| self.tallies.iter().map(f).sum::<u64>();
         let (asked, delivered, tries) = (sum(|t| t.asked), sum(|t| t.delivered), sum(|t| t.tries));
         let _ = writeln!(
             text,
-            "{:.0} s; {asked} usual hits in {tries} tries, {delivered} delivered; {} hits of clients that misbehave; \
-             {} builds; {:.1} s of processor time; resident {:.2} MiB at most of {:.0}; unaccounted {:.0} % on the mean, \
+            "{:.0} s; {asked} regular hits in {tries} tries, {delivered} delivered; {} hits of misbehaving clients; \
+             {} builds; {:.1} s of processor time; resident {:.2} MiB at most of {:.0}; unaccounted {:.0} % on average, \
              {:.2} MiB at most\n",
-            self.seconds,
+            self.duration_seconds,
             self.rogue_hits,
-            self.builds,
-            self.cpu.as_secs_f64(),
+            self.builds_offered,
+            self.cpu_time.as_secs_f64(),
             self.max_resident_bytes / MIB,
-            self.limit / MIB,
-            self.unaccounted.0 * 100.0,
-            self.unaccounted.1 / MIB,
+            self.memory_limit_bytes / MIB,
+            self.unaccounted_share_and_max_bytes.0 * 100.0,
+            self.unaccounted_share_and_max_bytes.1 / MIB,
         );
         let _ = writeln!(
             text,
@@ -474,14 +547,14 @@
         let _ = writeln!(text, "| --- | --- | --- | --- | --- | --- | --- |");
         for ReportRow { name, trend, tolerance, cap } in &self.rows {
             let cap = cap.map_or("-".into(), |cap| format!("{cap:.0}"));
-            let Trend { slope, slope_margin: bound, mean, max: most, .. } = trend;
+            let Trend { slope, slope_margin, mean, max, .. } = trend;
             let _ = writeln!(
                 text,
-                "| {name} | {slope:.2} | {bound:.2} | {tolerance} | {mean:.0} | {most:.0} | {cap} |"
+                "| {name} | {slope:.2} | {slope_margin:.2} | {tolerance} | {mean:.0} | {max:.0} | {cap} |"
             );
         }
-        for miss in &self.missed_tolerances {
-            let _ = writeln!(text, "\nmissed: {miss}");
+        for missed in &self.missed_tolerances {
+            let _ = writeln!(text, "\nmissed: {missed}");
         }
         text
     }
--- a/crates/lab/tests/books.rs
+++ b/crates/lab/tests/books.rs
@@ -198,7 +198,7 @@
 #[rstest]
 #[case("[soak]\nrate = fast", "line 2: [soak] rate = 'fast' is not a number")]
 #[case("[soak]\ntroubles = calm, plague", "names an unknown trouble 'plague'")]
-#[case("[soak]\nphase = 0", "must be longer than nothing")]
+#[case("[soak]\nphase = 0", "must be greater than zero")]
 #[case("[soak]\nphases = 3", "[soak] phases is no key here")]
 #[case("[tolerance]\nunaccounted = 15", "is not a part such as 25%")]
 fn a_wrong_scenario_is_refused_with_one_readable_line(#[case] text: &str, #[case] why: &str) {
