--- a/crates/lab/src/program.rs
+++ b/crates/lab/src/program.rs
@@ -1,4 +1,4 @@
-//! A marshal as a process of its own, and what can be seen of it from outside.
+//! Runs a marshal as a child process and observes it from outside: its log, its resource use and its exit status.
 
 use serde_json::Value;
 use std::io::{BufRead, BufReader};
@@ -9,36 +9,41 @@
 use std::sync::mpsc::{Receiver, RecvTimeoutError, SyncSender, TrySendError, sync_channel};
 use std::time::{Duration, Instant};
 
-/// Lines of the log that wait to be looked at; what goes past it is counted only.
-const LINES: usize = 100_000;
-/// How long a marshal may take to listen.
-const READY: Duration = Duration::from_secs(20);
+/// Capacity of the queue of unread log lines; further lines are dropped while it is full.
+const LOG_QUEUE_LINES: usize = 100_000;
+/// Time within which a started marshal must listen.
+const START_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// What a process holds and has used.
+/// Resource use of a process.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ProcessUsage {
-    /// Resident bytes of the process alone, without the program's own pages: what a limit is held against.
+    /// Resident anonymous and shared memory in bytes, without file-backed pages such as the program's code: the figure
+    /// that memory limits are compared with.
     pub resident_bytes: usize,
-    /// The most that was resident at once so far, counted alike.
+    /// Maximum of the resident size so far, in bytes, also without file-backed pages.
     pub peak_bytes: usize,
-    /// Processor time, user and system.
+    /// Processor time of all threads, user and system.
     pub cpu_time: Duration,
+    /// Number of open file descriptors.
     pub descriptors: usize,
 }
 
+/// A running marshal; it is killed when this value is dropped.
 pub struct Program {
     child: Child,
+    /// The address at which it listens for clients.
     pub addr: SocketAddr,
-    /// Where its configuration lies.
+    /// Its configuration file, which is removed when this value is dropped.
     pub config_path: PathBuf,
+    /// Lines of its log, as written to standard error.
     pub log: Receiver<String>,
 }
 
-/// A path of its own in the folder for temporary files.
-pub fn unique_temp_path(ending: &str) -> PathBuf {
+/// Returns a path in the folder for temporary files that no other call returns, with this file extension.
+pub fn unique_temp_path(extension: &str) -> PathBuf {
     static NUMBER: AtomicUsize = AtomicUsize::new(0);
     let number = NUMBER.fetch_add(1, Ordering::SeqCst);
-    std::env::temp_dir().join(format!("stonescale-lab-{}-{number}.{ending}", std::process::id()))
+    std::env::temp_dir().join(format!("stonescale-lab-{}-{number}.{extension}", std::process::id()))
 }
 
 impl Program {
@@ -47,7 +52,7 @@
         Self::start_with_env(binary, config, args, &[])
     }
 
-    /// The same, in an environment of these variables.
+    /// Like [`Program::start`], with these environment variables.
     pub fn start_with_env(
         binary: &Path, config: &Value, args: &[&str], env: &[(&str, &str)],
     ) -> Result<Self, String> {
@@ -56,66 +61,71 @@
         let mut command = Command::new(binary);
         command.arg("serve").arg("--config").arg(&path).args(args);
         command.env_clear().envs(env.iter().copied());
-        // Which deliberate fault a build for tests is to have.
+        // Selects the deliberate fault in a build with the feature `mutants`.
         command.envs(std::env::var("STONESCALE_MUTANT").map(|mutant| ("STONESCALE_MUTANT", mutant)));
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped());
         let mut child = command.spawn().map_err(|e| format!("{}: {e}", binary.display()))?;
         let stderr = child.stderr.take().ok_or("no log")?;
-        let (tell, log) = sync_channel(LINES);
-        std::thread::spawn(move || pass_on(BufReader::new(stderr), &tell));
+        let (lines, log) = sync_channel(LOG_QUEUE_LINES);
+        std::thread::spawn(move || read_log(BufReader::new(stderr), &lines));
         let mut program = Program { child, addr: ([127, 0, 0, 1], 0).into(), config_path: path, log };
-        let line = program.wait_for_log_line("listening at ", READY)?;
+        let line = program.wait_for_log_line("listening at ", START_TIMEOUT)?;
         let addr = line.split("listening at ").nth(1).and_then(|t| t.split(['"', ' ']).next());
         program.addr = addr.and_then(|a| a.parse().ok()).ok_or_else(|| format!("no address in '{line}'"))?;
         Ok(program)
     }
 
-    /// Waits for a line of the log that holds `word`.
-    pub fn wait_for_log_line(&self, word: &str, limit: Duration) -> Result<String, String> {
-        let until = Instant::now() + limit;
+    /// Discards log lines up to the first one that contains `text`, and returns that one; an error if it doesn't come
+    /// within `timeout`.
+    pub fn wait_for_log_line(&self, text: &str, timeout: Duration) -> Result<String, String> {
+        let deadline = Instant::now() + timeout;
         let mut last = String::new();
         loop {
-            match self.log.recv_timeout(until.saturating_duration_since(Instant::now())) {
-                Ok(line) if line.contains(word) => return Ok(line),
+            match self.log.recv_timeout(deadline.saturating_duration_since(Instant::now())) {
+                Ok(line) if line.contains(text) => return Ok(line),
                 Ok(line) => last = line,
                 Err(RecvTimeoutError::Timeout) => {
-                    return Err(format!("the log did not say '{word}'; last: {last}"));
+                    return Err(format!("no log line contains '{text}'; last line: {last}"));
+                }
+                Err(RecvTimeoutError::Disconnected) => {
+                    return Err(format!("the marshal exited; last line: {last}"));
                 }
-                Err(RecvTimeoutError::Disconnected) => return Err(format!("the marshal ended: {last}")),
             }
         }
     }
 
+    /// The process id.
     pub fn pid(&self) -> u32 {
         self.child.id()
     }
 
-    /// Sends a signal by its name, such as `TERM`.
+    /// Sends a signal, given by its name without `SIG`, such as `TERM`.
     pub fn signal(&self, name: &str) {
         let _ = Command::new("kill").args([&format!("-{name}"), &self.pid().to_string()]).status();
     }
 
-    /// Has it ended?
+    /// The exit status, once the process has exited.
     pub fn exit_status(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
 
-    /// What it holds now.
+    /// Present resource use; none if it can't be read.
     pub fn usage(&self) -> Option<ProcessUsage> {
         process_usage(self.pid())
     }
 }
 
-fn pass_on(log: impl BufRead, tell: &SyncSender<String>) {
+/// Reads the log until it ends, and puts its lines in the queue.
+fn read_log(log: impl BufRead, lines: &SyncSender<String>) {
     for line in log.lines().map_while(Result::ok) {
-        // Nobody may be looking: then the newest lines are left out, but the pipe is emptied.
-        if let Err(TrySendError::Disconnected(_)) = tell.try_send(line) {
+        // While the queue is full, lines are dropped: the pipe must still be drained, or the marshal would block on it.
+        if let Err(TrySendError::Disconnected(_)) = lines.try_send(line) {
             break;
         }
     }
 }
 
-/// Reads what a process holds from the system's pages on it.
+/// Reads the resource use of a process from `/proc`.
 pub fn process_usage(pid: u32) -> Option<ProcessUsage> {
     let status = std::fs::read_to_string(format!("/proc/{pid}/status")).ok()?;
     let kib = |name: &str| {
@@ -124,13 +134,13 @@
     };
     let resident = (kib("RssAnon:") + kib("RssShmem:")) * 1024;
     let peak = (kib("VmHWM:").saturating_sub(kib("RssFile:")) * 1024).max(resident);
-    // Each thread's time on a processor, in nanoseconds.
+    // The first field of `schedstat` is the thread's time on a processor, in nanoseconds.
     let threads = std::fs::read_dir(format!("/proc/{pid}/task")).ok()?.flatten();
-    let on_cpu = |thread: std::fs::DirEntry| {
+    let cpu_nanos = |thread: std::fs::DirEntry| {
         let text = std::fs::read_to_string(thread.path().join("schedstat")).ok()?;
         text.split(' ').next()?.parse::<u64>().ok()
     };
-    let cpu = Duration::from_nanos(threads.filter_map(on_cpu).sum());
+    let cpu = Duration::from_nanos(threads.filter_map(cpu_nanos).sum());
     let descriptors = std::fs::read_dir(format!("/proc/{pid}/fd")).map_or(0, |d| d.count());
     Some(ProcessUsage { resident_bytes: resident, peak_bytes: peak, cpu_time: cpu, descriptors })
 }
--- a/crates/lab/src/sizes.rs
+++ b/crates/lab/src/sizes.rs
@@ -123,7 +123,7 @@
         stream.write_all(&burst).map_err(io)?;
     }
     std::thread::sleep(Duration::from_millis(1_500));
-    let peak = world.program.usage().ok_or("the marshal ended")?.peak_bytes;
+    let peak = world.program.usage().ok_or("the marshal exited")?.peak_bytes;
     let after = Report::of(&world.program)?;
     let many = after.high("work.read") / (HIT + length);
     let others = after.others(&["work.read"]) as f64 - before.others(&["work.read"]) as f64;
--- a/crates/lab/src/soak.rs
+++ b/crates/lab/src/soak.rs
@@ -298,6 +298,7 @@
         }
     }
 
+    /// Starts the trouble of the present phase.
     fn start_trouble(&mut self, trouble: Trouble, elapsed: Duration) {
         let (world, rogue_count) = (&self.world, self.scenario.rogues_per_trouble);
         let half = world.nodes.len().div_ceil(2);
@@ -357,12 +358,15 @@
             let node = &self.world.nodes
                 [(in_phase.as_nanos() / interval.as_nanos().max(1)) as usize % nodes as usize];
             node.restart();
-            let now_ms = self.world.stage.clock.now() - stonescale::state::LONG_AGO;
-            let ids = [node.name.clone()];
-            self.world.discovery.change(&ids, |entry| entry.started_ms = now_ms.as_nanos() / 1_000_000);
+            let since_epoch = self.world.stage.clock.now() - stonescale::state::LONG_AGO;
+            let names = [node.name.clone()];
+            self.world
+                .discovery
+                .change(&names, |entry| entry.started_ms = since_epoch.as_nanos() / 1_000_000);
         }
     }
 
+    /// Adds a sample to the series of this name.
     fn record(&mut self, name: &str, at: f64, value: f64) {
         // A report may be as old as the last poll, and connections take a moment to close: samples count as quiet
         // only after an eighth of the phase.
--- a/crates/lab/src/world.rs
+++ b/crates/lab/src/world.rs
@@ -1,4 +1,5 @@
-//! A small site on loopback: one marshal, its nodes, discovery and platform, and the books on them.
+//! A small site on loopback: one marshal process with stand-ins for its nodes, discovery and platform, and a checker
+//! that records what all of them see.
 
 use crate::checker::{Books, Bounds, Checker};
 use crate::discovery::{Discovery, Entry};
@@ -13,11 +14,12 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// The build that is released at the start.
+/// Number of the build that is released at the start.
 pub const FIRST_BUILD: u16 = 4;
 
+/// A running site. Dropped, it stops everything.
 pub struct World {
-    // The marshal ends first, then the stand-ins.
+    // Fields are dropped in this order: the marshal exits before the stand-ins do.
     pub program: Program,
     pub nodes: Vec<Node>,
     pub discovery: Discovery,
@@ -25,19 +27,19 @@
     pub books: Books,
     pub groups: Vec<Group>,
     pub stage: Stage,
-    /// Nodes started so far.
-    started: usize,
+    /// Number of nodes started so far; the next node's name is made from it.
+    started_nodes: usize,
 }
 
 impl World {
-    /// Starts everything; `args` go to the marshal's command line.
+    /// Starts a site with this number of nodes; `args` are added to the marshal's command line.
     pub fn start(
         binary: &Path, nodes: usize, limits: Limits, manner: &Manner, args: &[&str],
     ) -> Result<Self, String> {
         Self::start_with_config(binary, nodes, limits, manner, args, |_| ())
     }
 
-    /// The same, with a change to the marshal's configuration.
+    /// Like [`World::start`]; `change` edits the marshal's configuration before it starts.
     pub fn start_with_config(
         binary: &Path, nodes: usize, limits: Limits, manner: &Manner, args: &[&str],
         change: impl FnOnce(&mut Value),
@@ -54,53 +56,62 @@
         let mut config = site::config(limits, discovery.addr, platform.addr, &news, &discovery.all());
         change(&mut config);
         let program = Program::start(binary, &config, args)?;
-        let started = nodes.len();
-        Ok(World { program, nodes, discovery, platform, books, groups, stage, started })
+        let started_nodes = nodes.len();
+        Ok(World { program, nodes, discovery, platform, books, groups, stage, started_nodes })
     }
 
+    /// Starts well-behaved clients; their results are in the returned value.
     pub fn start_load(&self, plan: Plan) -> Load {
         Load::start(&self.stage, self.books.clone(), self.groups.clone(), vec![self.program.addr], plan)
     }
 
-    /// Clients that misbehave, with hits of this path group.
-    pub fn start_rogues(&self, manner: rogue::Manner, many: usize, group: usize, body: usize) -> Rogues {
-        self.start_rogues_with_timeout(manner, many, group, body, Duration::from_millis(1_500))
+    /// Starts misbehaving clients, which send hits of this path group with bodies of `body` bytes until the returned value
+    /// is dropped. Each hit states a wait of 1.5 s.
+    pub fn start_rogues(&self, manner: rogue::Manner, count: usize, group: usize, body: usize) -> Rogues {
+        self.start_rogues_with_timeout(manner, count, group, body, Duration::from_millis(1_500))
     }
 
-    /// The same, with hits that say how long they wait.
+    /// Like [`World::start_rogues`]; each hit states `timeout` as the time that its client waits for the answer.
     pub fn start_rogues_with_timeout(
-        &self, manner: rogue::Manner, many: usize, group: usize, body: usize, patience: Duration,
+        &self, manner: rogue::Manner, count: usize, group: usize, body: usize, timeout: Duration,
     ) -> Rogues {
-        let kind = Kind { group, share: 1.0, body, patience };
-        Rogues::start(&self.stage, &self.books, manner, many, self.program.addr, (&self.groups[group], &kind))
+        let kind = Kind { group, share: 1.0, body, patience: timeout };
+        Rogues::start(
+            &self.stage,
+            &self.books,
+            manner,
+            count,
+            self.program.addr,
+            (&self.groups[group], &kind),
+        )
     }
 
-    pub fn set_all_nodes_mode(&self, mood: Mood) {
-        self.nodes.iter().for_each(|node| node.mood(mood));
+    /// Sets how all nodes treat what they receive.
+    pub fn set_all_nodes_mode(&self, mode: Mood) {
+        self.nodes.iter().for_each(|node| node.mood(mode));
     }
 
-    /// Starts so many nodes of a build, cold, and lists them; returns their names.
-    pub fn add_nodes(&mut self, many: usize, build: u16, manner: &Manner) -> Vec<String> {
-        let now_ms = self.stage.clock.now() - stonescale::state::LONG_AGO;
-        let now_ms = now_ms.as_nanos() / 1_000_000;
-        let first = self.started;
-        self.started += many;
-        let capacity = manner.cores as f64 / manner.work.as_secs_f64().max(1e-6);
-        let fresh: Vec<_> = (first..self.started)
+    /// Starts `count` nodes of a build, cold, and lists them in discovery; returns their names.
+    pub fn add_nodes(&mut self, count: usize, build: u16, manner: &Manner) -> Vec<String> {
+        let since_epoch = self.stage.clock.now() - stonescale::state::LONG_AGO;
+        let started_ms = since_epoch.as_nanos() / 1_000_000;
+        let first = self.started_nodes;
+        self.started_nodes += count;
+        let commands_per_second = manner.cores as f64 / manner.work.as_secs_f64().max(1e-6);
+        let added: Vec<_> = (first..self.started_nodes)
             .map(|n| {
                 Node::start(&self.stage, &format!("s-{n}"), n as u64, manner.clone(), self.books.clone())
             })
             .collect();
         let now = self.stage.clock.now();
-        fresh.iter().for_each(|n| self.books.lock().starts(&n.name, capacity, now));
-        self.discovery
-            .list(fresh.iter().map(|n| Entry { started_ms: now_ms, ..Entry::up(&n.name, n.addr, build) }));
-        let names = fresh.iter().map(|n| n.name.clone()).collect();
-        self.nodes.extend(fresh);
+        added.iter().for_each(|n| self.books.lock().starts(&n.name, commands_per_second, now));
+        self.discovery.list(added.iter().map(|n| Entry { started_ms, ..Entry::up(&n.name, n.addr, build) }));
+        let names = added.iter().map(|n| n.name.clone()).collect();
+        self.nodes.extend(added);
         names
     }
 
-    /// Lists nodes in another state, by their names; removed ones are forgotten here.
+    /// Lists the named nodes in another state. Nodes in the state `removed` are stopped and dropped.
     pub fn set_node_state(&mut self, names: &[String], state: &str) {
         self.discovery.change(names, |entry| entry.state = state.into());
         if state == "removed" {
@@ -109,13 +120,13 @@
         }
     }
 
-    /// The most that the marshal was resident with, looked at until `over` says so.
-    pub fn max_resident_bytes_until(&self, mut over: impl FnMut() -> bool) -> usize {
-        let mut most = 0;
-        while !over() {
-            most = most.max(self.program.usage().map_or(0, |s| s.resident_bytes));
+    /// Samples the marshal's resident size every 10 ms until `done` returns true; returns the maximum in bytes.
+    pub fn max_resident_bytes_until(&self, mut done: impl FnMut() -> bool) -> usize {
+        let mut max_bytes = 0;
+        while !done() {
+            max_bytes = max_bytes.max(self.program.usage().map_or(0, |usage| usage.resident_bytes));
             std::thread::sleep(Duration::from_millis(10));
         }
-        most
+        max_bytes
     }
 }
