--- a/crates/lab/tests/books.rs
+++ b/crates/lab/tests/books.rs
@@ -1,4 +1,5 @@
-//! The laboratory's own judges: books on the rules, trends, releases, timetables, scenarios.
+//! Tests of what the laboratory judges a marshal by: the checker of the rules, trends, releases, schedules of troubles,
+//! and scenario files.
 
 use proptest::prelude::*;
 use rstest::rstest;
@@ -20,7 +21,8 @@
     Asked { group: 0, effect, mark: None, patience: Span::millis(500) }
 }
 
-/// Books with a released build 4 on node `old`, build 5 on trial at a tenth on node `new`, and a hit `h` sent at zero.
+/// A checker that knows the released build 4 on node `old`, build 5 in testing with a cap of 0.1 on node `new`, and a hit
+/// `h` that a client sent at time zero.
 fn books(effect: Effect) -> Checker {
     let mut books = Checker::new(Bounds::default(), 0.1);
     books.staged(4, false, 1.0, at(0));
@@ -35,11 +37,12 @@
 const BOOK: Effect = Effect::Mutating;
 const TAGGED: Effect = Effect::Tagged { scope: Scope::All, memory: Span::millis(1_000) };
 
-type Play = fn(&mut Checker);
+/// Records what happens in a case.
+type Record = fn(&mut Checker);
 
-/// Four forwards to a node, from a time on.
-fn four(books: &mut Checker, node: &str, from: u64) {
-    (0..4).for_each(|n| books.forwarded(node, &n.to_string(), at(from + n)));
+/// Records four forwards to a node, one per millisecond from `from_ms` on.
+fn forward_four(books: &mut Checker, node: &str, from_ms: u64) {
+    (0..4).for_each(|n| books.forwarded(node, &n.to_string(), at(from_ms + n)));
 }
 
 #[rstest]
@@ -49,86 +52,86 @@
 })]
 #[case::answered_late(1, READ, |b: &mut Checker| b.answered("h", Outcome::Errored, at(560)))]
 #[case::never_answered(1, READ, |b: &mut Checker| b.left("h", true, at(900)))]
-#[case::anothers_value(1, READ, |b: &mut Checker| b.answered("h", Outcome::Wrong, at(10)))]
-#[case::sent_after_its_answer(1, READ, |b: &mut Checker| {
+#[case::value_of_another_hit(1, READ, |b: &mut Checker| b.answered("h", Outcome::Wrong, at(10)))]
+#[case::forwarded_after_its_answer(1, READ, |b: &mut Checker| {
     b.answered("h", Outcome::Bounced, at(10));
     b.forwarded("old", "h", at(70));
 })]
-#[case::sent_after_its_time(1, READ, |b: &mut Checker| b.forwarded("old", "h", at(551)))]
-#[case::mutating_sent_again(2, BOOK, |b: &mut Checker| {
+#[case::forwarded_after_its_deadline(1, READ, |b: &mut Checker| b.forwarded("old", "h", at(551)))]
+#[case::mutating_hit_forwarded_again(2, BOOK, |b: &mut Checker| {
     b.forwarded("old", "h", at(1));
     b.forwarded("old", "h", at(2));
 })]
-#[case::mutating_bounced_after_a_forward(2, BOOK, |b: &mut Checker| {
+#[case::mutating_hit_bounced_after_a_forward(2, BOOK, |b: &mut Checker| {
     b.forwarded("old", "h", at(1));
     b.answered("h", Outcome::Bounced, at(20));
 })]
-#[case::tagged_ran_twice(2, TAGGED, |b: &mut Checker| {
+#[case::tagged_hit_ran_twice(2, TAGGED, |b: &mut Checker| {
     b.ran("old", "h", at(1));
     b.ran("old", "h", at(2));
 })]
-#[case::sent_to_a_draining_node(3, READ, |b: &mut Checker| {
+#[case::forwarded_to_a_draining_node(3, READ, |b: &mut Checker| {
     b.listed("old", 4, true, at(10));
     b.sent("late", asked(READ), at(1_070));
     b.forwarded("old", "late", at(1_071));
 })]
-#[case::a_cold_node_pushed_over(4, READ, |b: &mut Checker| {
+#[case::cold_node_overloaded(4, READ, |b: &mut Checker| {
     b.starts("old", 20.0, at(0));
-    // Warm after a second, it can do 20 a second: 50 are too much all the time.
+    // Warm after 1 s, the node can do 20 commands per second: 50 per second are over twice that all the time.
     (0..200).for_each(|n| b.forwarded("old", &n.to_string(), at(n * 20)));
 })]
-#[case::over_the_cap(5, READ, |b: &mut Checker| four(b, "new", 1))]
+#[case::over_the_cap(5, READ, |b: &mut Checker| forward_four(b, "new", 1))]
 #[case::over_a_lowered_cap(5, READ, |b: &mut Checker| {
     b.staged(5, true, 1.0, at(1));
     b.staged(5, true, 0.0, at(2));
-    four(b, "new", 3_000);
+    forward_four(b, "new", 3_000);
 })]
-#[case::over_the_first_cap_of_a_build_not_announced(5, READ, |b: &mut Checker| {
+#[case::over_the_first_cap_of_an_unannounced_build(5, READ, |b: &mut Checker| {
     b.listed("newer", 6, false, at(0));
-    four(b, "newer", 1);
+    forward_four(b, "newer", 1);
 })]
-fn a_planted_violation_is_found(#[case] rule: u8, #[case] effect: Effect, #[case] play: Play) {
+fn violation_is_reported_under_its_rule(#[case] rule: u8, #[case] effect: Effect, #[case] record: Record) {
     let mut books = books(effect);
-    play(&mut books);
+    record(&mut books);
     let rules: Vec<_> = books.violations.iter().map(|v| v.rule).collect();
     assert!(!rules.is_empty() && rules.iter().all(|r| *r == rule), "{:?}", books.violations);
 }
 
 #[rstest]
-#[case::a_usual_hit(BOOK, |b: &mut Checker| {
+#[case::hit_delivered(BOOK, |b: &mut Checker| {
     b.forwarded("old", "h", at(1));
     b.ran("old", "h", at(2));
     b.answered("h", Outcome::Delivered, at(3));
 })]
-#[case::turned_away_and_sent_on(BOOK, |b: &mut Checker| {
+#[case::refused_by_a_node_and_forwarded_again(BOOK, |b: &mut Checker| {
     b.forwarded("old", "h", at(1));
     b.refused("h");
     b.forwarded("old", "h", at(2));
     b.answered("h", Outcome::Delivered, at(3));
 })]
-#[case::bounced_unsent(BOOK, |b: &mut Checker| b.answered("h", Outcome::Bounced, at(3)))]
-#[case::within_the_grace(READ, |b: &mut Checker| {
+#[case::bounced_without_a_forward(BOOK, |b: &mut Checker| b.answered("h", Outcome::Bounced, at(3)))]
+#[case::forwarded_within_the_drain_grace(READ, |b: &mut Checker| {
     b.listed("old", 4, true, at(0));
     b.forwarded("old", "h", at(400));
 })]
-#[case::a_cold_node_kept_busy(READ, |b: &mut Checker| {
+#[case::cold_node_at_its_capacity(READ, |b: &mut Checker| {
     b.starts("old", 20.0, at(0));
     (0..200).for_each(|n| b.forwarded("old", &n.to_string(), at(n * 50)));
 })]
-#[case::a_cold_node_pushed_for_two_seconds(READ, |b: &mut Checker| {
+#[case::cold_node_overloaded_for_two_seconds(READ, |b: &mut Checker| {
     b.starts("old", 20.0, at(0));
     (0..100).for_each(|n| b.forwarded("old", &n.to_string(), at(n * 20)));
     (0..40).for_each(|n| b.forwarded("old", &n.to_string(), at(2_200 + n * 100)));
 })]
-#[case::a_warm_node_overloaded(READ, |b: &mut Checker| {
+#[case::warm_node_overloaded(READ, |b: &mut Checker| {
     b.starts("old", 20.0, at(0));
     (0..200).for_each(|n| b.forwarded("old", &n.to_string(), at(1_500 + n * 20)));
 })]
 #[case::within_the_allowance(READ, |b: &mut Checker| (0..3).for_each(|n| b.forwarded("new", &n.to_string(), at(n))))]
-#[case::a_client_that_left(READ, |b: &mut Checker| b.left("h", false, at(100)))]
-fn what_is_lawful_is_not_held_against_it(#[case] effect: Effect, #[case] play: Play) {
+#[case::client_that_disconnected(READ, |b: &mut Checker| b.left("h", false, at(100)))]
+fn permitted_behaviour_is_not_reported(#[case] effect: Effect, #[case] record: Record) {
     let mut books = books(effect);
-    play(&mut books);
+    record(&mut books);
     assert_eq!(books.violations, []);
 }
 
@@ -136,7 +139,7 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(100) })]
 
     #[test]
-    fn a_line_that_rises_is_told_from_one_that_does_not(noise in prop::collection::vec(-50.0..50.0f64, 240)) {
+    fn rising_series_is_distinguished_from_a_flat_one(noise in prop::collection::vec(-50.0..50.0f64, 240)) {
         let series = |slope: f64| -> Vec<(f64, f64)> {
             noise.iter().enumerate().map(|(at, n)| (at as f64, 1_000.0 + slope * at as f64 + n)).collect()
         };
@@ -148,25 +151,29 @@
 }
 
 #[test]
-fn too_few_blocks_tell_no_trend() {
+fn too_few_blocks_give_no_trend() {
     assert_eq!(Trend::fit(&[(0.0, 1.0), (1.0, 2.0), (2.0, 3.0)], 1.0), None);
 }
 
-/// Plays a release of ten nodes in steps of 50 ms; `back` says from when on a vote against it stands.
-fn play(back: Option<u64>) -> (Release, Vec<Step>) {
+/// Runs a release over ten nodes in steps of 50 ms; from `stop_from_ms` on a vote to stop it is in force.
+fn run_release(stop_from_ms: Option<u64>) -> (Release, Vec<Step>) {
     let (start, stage) = (Duration::from_millis(100), Duration::from_millis(500));
     let course = Course { nodes: 10, stages: vec![0.1, 0.35, 1.0], start, stage };
     let mut release = Release::new(course, Duration::ZERO);
     let mut steps = Vec::new();
     for ms in (0..5_000).step_by(50) {
-        steps.extend(release.poll(Duration::from_millis(ms), back.is_some_and(|from| ms >= from), false));
+        steps.extend(release.poll(
+            Duration::from_millis(ms),
+            stop_from_ms.is_some_and(|from| ms >= from),
+            false,
+        ));
     }
     (release, steps)
 }
 
 #[test]
-fn a_release_passes_its_stages_and_replaces_every_node() {
-    let (release, steps) = play(None);
+fn release_passes_its_stages_and_replaces_every_node() {
+    let (release, steps) = run_release(None);
     let sum = |f: fn(&Step) -> usize| steps.iter().map(f).sum::<usize>();
     assert_eq!(release.outcome(), Some(true));
     assert_eq!(sum(|s| if let Step::Start(n) = s { *n } else { 0 }), 10);
@@ -177,22 +184,22 @@
 }
 
 #[test]
-fn a_vote_against_it_brings_back_as_many_nodes_as_were_drained() {
-    let (release, steps) = play(Some(900));
+fn stop_vote_restarts_as_many_old_nodes_as_were_drained() {
+    let (release, steps) = run_release(Some(900));
     assert_eq!(release.outcome(), Some(false));
     assert!(steps.contains(&Step::Return(4)), "{steps:?}");
 }
 
 #[test]
-fn the_same_seed_gives_the_same_timetable_with_every_kind_in_each_cycle() {
-    let table = |seed| {
-        let table = Timetable::draw(&ALL, 2, Duration::from_secs(1), seed);
-        let at = |s: u64| table.at(Duration::from_millis(s * 1_000 + 100)).map(|p| p.1);
+fn schedule_repeats_for_a_seed_and_has_each_trouble_once_per_cycle() {
+    let troubles = |seed| {
+        let schedule = Timetable::draw(&ALL, 2, Duration::from_secs(1), seed);
+        let at = |s: u64| schedule.at(Duration::from_millis(s * 1_000 + 100)).map(|p| p.1);
         (0..=2 * ALL.len() as u64).map(at).collect::<Vec<_>>()
     };
-    let one = table(7);
-    assert!(one == table(7) && one != table(8) && one.last() == Some(&None));
-    assert!(ALL.iter().all(|kind| one.iter().filter(|k| **k == Some(*kind)).count() == 2));
+    let of_seed_7 = troubles(7);
+    assert!(of_seed_7 == troubles(7) && of_seed_7 != troubles(8) && of_seed_7.last() == Some(&None));
+    assert!(ALL.iter().all(|kind| of_seed_7.iter().filter(|k| **k == Some(*kind)).count() == 2));
 }
 
 #[rstest]
@@ -201,14 +208,14 @@
 #[case("[soak]\nphase = 0", "must be greater than zero")]
 #[case("[soak]\nphases = 3", "[soak] phases is no key here")]
 #[case("[tolerance]\nunaccounted = 15", "is not a part such as 25%")]
-fn a_wrong_scenario_is_refused_with_one_readable_line(#[case] text: &str, #[case] why: &str) {
-    let told = Sheet::parse("s.ini", text).and_then(Scenario::from_settings).unwrap_err();
-    assert!(told.contains(why) && told.lines().count() == 1, "{told}");
+fn invalid_scenario_is_rejected_with_a_one_line_error(#[case] text: &str, #[case] reason: &str) {
+    let error = Sheet::parse("s.ini", text).and_then(Scenario::from_settings).unwrap_err();
+    assert!(error.contains(reason) && error.lines().count() == 1, "{error}");
 }
 
 #[rstest]
 #[case(include_str!("../../../deploy/soak-short.ini"))]
 #[case(include_str!("../../../deploy/soak-long.ini"))]
-fn the_shipped_scenarios_can_be_read(#[case] text: &str) {
+fn shipped_scenarios_are_valid(#[case] text: &str) {
     Sheet::parse("s.ini", text).and_then(Scenario::from_settings).unwrap();
 }
--- a/crates/lab/tests/node.rs
+++ b/crates/lab/tests/node.rs
@@ -1,4 +1,4 @@
-//! The stand-in node keeps to the protocol where a marshal depends on it.
+//! The stand-in node follows the protocol where a marshal depends on it.
 
 use stonescale_lab::checker::{Books, Bounds, Checker};
 use stonescale_lab::node::{Act, Manner, Node};
@@ -6,23 +6,23 @@
 use stonescale_lab::wire;
 
 #[test]
-fn no_answer_comes_for_a_command_behind_one_that_is_passed_over() {
+fn command_after_an_unanswered_one_gets_no_answer() {
     use std::io::{Read, Write};
     let (stage, books) = (Stage::default(), Books::new(Checker::new(Bounds::default(), 0.1)));
     let node = Node::start(&stage, "s-0", 0, Manner::default(), books);
     node.script([Act::Nothing]);
     let mut stream = std::net::TcpStream::connect(node.addr).unwrap();
     let command = |id: &[u8]| wire::command(&[b"SVC.QUERY", b"7f3a", id, b"c=read,t=acme,d=900"]);
-    // In one write: a marshal pairs answers with commands by their order, and would take the second's answer for
-    // the first's.
+    // Both in one write. A marshal pairs answers with commands by their order: it would take an answer to the second
+    // command for that of the first.
     stream.write_all(&[command(b"one"), command(b"two")].concat()).unwrap();
     assert!(until(std::time::Duration::from_secs(20), || node.taken() == 2));
-    // One on a connection of its own is answered meanwhile, so that the second's answer has had its time.
+    // A command on another connection is answered first, so that an answer to the second one would have come by then.
     let mut other = std::net::TcpStream::connect(node.addr).unwrap();
     other.write_all(&command(b"three")).unwrap();
     other.read_exact(&mut [0]).unwrap();
     node.restart();
-    let mut rest = Vec::new();
-    let _ = stream.read_to_end(&mut rest);
-    assert!(rest.is_empty(), "{}", String::from_utf8_lossy(&rest));
+    let mut received = Vec::new();
+    let _ = stream.read_to_end(&mut received);
+    assert!(received.is_empty(), "{}", String::from_utf8_lossy(&received));
 }
