--- a/crates/lab/src/cost.rs
+++ b/crates/lab/src/cost.rs
@@ -1,5 +1,5 @@
-//! What a hit costs a marshal: two builds side by side, in turns within one run, so that a machine whose pace drifts
-//! drifts for both.
+//! Measures the processor time per hit of two builds of the marshal. Their rounds alternate within one run, so that a
+//! drift of the machine's speed affects both alike.
 
 use crate::load::Plan;
 use crate::node::Manner;
@@ -11,84 +11,88 @@
 
 const NODES: usize = 6;
 
-/// How it is measured.
+/// Parameters of a measurement.
 #[derive(Clone, Copy, Debug)]
 pub struct Measurement {
+    /// Counted rounds of each build.
     pub rounds: usize,
     pub round_duration: Duration,
-    /// Hits a second.
     pub hits_per_second: f64,
 }
 
-/// Processor time by hit in microseconds, round by round, and hits delivered of those asked.
+/// Results of one build: round by round in microseconds, and hits over all rounds.
 #[derive(Clone, Debug, Default)]
 pub struct BuildCost {
-    pub micros: Vec<f64>,
+    /// Processor time per delivered hit, by round.
+    pub cpu_micros_per_hit: Vec<f64>,
+    /// 99th percentile of the latency of reads, by round.
     pub p99_micros: Vec<u64>,
-    pub asked: u64,
-    pub delivered: u64,
+    pub hits_sent: u64,
+    pub hits_delivered: u64,
 }
 
-fn round(world: &World, course: Measurement, side: &mut BuildCost, seed: u64) -> Option<()> {
-    let before = world.program.usage()?.cpu_time;
-    let load = world.start_load(Plan { connections: 256, ..Plan::mixed(course.hits_per_second, seed) });
-    std::thread::sleep(course.round_duration);
+/// Runs one round and adds its results to `cost`; none if the marshal's use can't be read.
+fn run_round(world: &World, measurement: Measurement, cost: &mut BuildCost, seed: u64) -> Option<()> {
+    let cpu_before = world.program.usage()?.cpu_time;
+    let load = world.start_load(Plan { connections: 256, ..Plan::mixed(measurement.hits_per_second, seed) });
+    std::thread::sleep(measurement.round_duration);
     let tallies = load.finish();
-    let cpu = world.program.usage()?.cpu_time - before;
-    let (asked, delivered) =
+    let cpu_time = world.program.usage()?.cpu_time - cpu_before;
+    let (sent, delivered) =
         tallies.iter().fold((0, 0), |sum, tally| (sum.0 + tally.asked, sum.1 + tally.delivered));
-    side.asked += asked;
-    side.delivered += delivered;
-    side.micros.push(cpu.as_secs_f64() * 1e6 / (delivered as f64).max(1.0));
-    side.p99_micros.push(tallies[0].latency.value_at_quantile(0.99));
+    cost.hits_sent += sent;
+    cost.hits_delivered += delivered;
+    cost.cpu_micros_per_hit.push(cpu_time.as_secs_f64() * 1e6 / (delivered as f64).max(1.0));
+    cost.p99_micros.push(tallies[0].latency.value_at_quantile(0.99));
     Some(())
 }
 
-/// Runs both in turns, after a round that is not counted.
-pub fn run(one: &Path, other: &Path, course: Measurement) -> Result<[BuildCost; 2], String> {
+/// Runs both builds in alternating rounds, after a warm-up round of each that isn't counted.
+pub fn run(first: &Path, second: &Path, measurement: Measurement) -> Result<[BuildCost; 2], String> {
     let manner = Manner { cores: 64, ..Manner::default() };
     let start = |binary: &Path| World::start(binary, NODES, Limits::default(), &manner, &[]);
-    let worlds = [start(one)?, start(other)?];
-    let mut sides = [BuildCost::default(), BuildCost::default()];
-    for number in 0..=course.rounds {
-        // Who goes first changes, as the one after may find a warmer machine.
-        for at in if number % 2 == 0 { [0, 1] } else { [1, 0] } {
-            let mut side = BuildCost::default();
-            let counted = if number == 0 { &mut side } else { &mut sides[at] };
-            round(&worlds[at], course, counted, number as u64).ok_or("a marshal ended")?;
+    let worlds = [start(first)?, start(second)?];
+    let mut costs = [BuildCost::default(), BuildCost::default()];
+    for number in 0..=measurement.rounds {
+        // The order alternates, as the build that goes second may find a warmer machine.
+        for index in if number % 2 == 0 { [0, 1] } else { [1, 0] } {
+            let mut warm_up = BuildCost::default();
+            let counted = if number == 0 { &mut warm_up } else { &mut costs[index] };
+            run_round(&worlds[index], measurement, counted, number as u64).ok_or("a marshal exited")?;
         }
     }
-    Ok(sides)
+    Ok(costs)
 }
 
-fn spread(values: &[f64]) -> (f64, f64, f64) {
+/// Minimum, median and maximum; zeros for no values.
+fn min_median_max(values: &[f64]) -> (f64, f64, f64) {
     let mut values = values.to_vec();
     values.sort_by(f64::total_cmp);
-    let at = |part: f64| values.get((part * (values.len().max(1) - 1) as f64).round() as usize).copied();
-    (at(0.0).unwrap_or(0.0), at(0.5).unwrap_or(0.0), at(1.0).unwrap_or(0.0))
+    let quantile =
+        |share: f64| values.get((share * (values.len().max(1) - 1) as f64).round() as usize).copied();
+    (quantile(0.0).unwrap_or(0.0), quantile(0.5).unwrap_or(0.0), quantile(1.0).unwrap_or(0.0))
 }
 
-/// Both sides, and the ratio of the first to the second round by round.
-pub fn table(names: [&str; 2], sides: &[BuildCost; 2]) -> String {
+/// The results of both builds as a table in Markdown, and the ratio of the first to the second, round by round.
+pub fn table(names: [&str; 2], costs: &[BuildCost; 2]) -> String {
     let mut text = String::from(
         "| build | us of processor a hit: least, median, most | p99, us (median) | delivered |\n",
     );
     text += "| --- | --- | --- | --- |\n";
-    for (name, side) in names.iter().zip(sides) {
-        let (least, median, most) = spread(&side.micros);
-        let p99: Vec<f64> = side.p99_micros.iter().map(|v| *v as f64).collect();
-        let (delivered, asked) = (side.delivered, side.asked);
+    for (name, cost) in names.iter().zip(costs) {
+        let (min, median, max) = min_median_max(&cost.cpu_micros_per_hit);
+        let p99: Vec<f64> = cost.p99_micros.iter().map(|v| *v as f64).collect();
+        let (delivered, sent) = (cost.hits_delivered, cost.hits_sent);
         let _ = writeln!(
             text,
-            "| {name} | {least:.1}, {median:.1}, {most:.1} | {:.0} | {delivered} of {asked} |",
-            spread(&p99).1
+            "| {name} | {min:.1}, {median:.1}, {max:.1} | {:.0} | {delivered} of {sent} |",
+            min_median_max(&p99).1
         );
     }
-    let ratios: Vec<f64> = sides[0].micros.iter().zip(&sides[1].micros).map(|(a, b)| a / b).collect();
-    let (least, median, most) = spread(&ratios);
-    let _ = writeln!(
-        text,
-        "\nratio of the first to the second, round by round: {least:.3}, {median:.3}, {most:.3}"
-    );
+    let ratios: Vec<f64> =
+        costs[0].cpu_micros_per_hit.iter().zip(&costs[1].cpu_micros_per_hit).map(|(a, b)| a / b).collect();
+    let (min, median, max) = min_median_max(&ratios);
+    let _ =
+        writeln!(text, "\nratio of the first to the second, round by round: {min:.3}, {median:.3}, {max:.3}");
     text
 }
--- a/crates/lab/src/demo.rs
+++ b/crates/lab/src/demo.rs
@@ -1,4 +1,5 @@
-//! A minute's look at what a marshal does: a fleet on loopback, a good build and a bad one offered in turn.
+//! Demonstration of under a minute: a marshal with a small fleet on loopback, to which a good build and then a bad one
+//! are offered.
 
 use crate::load::Plan;
 use crate::node::Manner;
@@ -11,34 +12,37 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// What is shown while it runs.
+/// Progress of the demonstration.
 pub struct Progress {
-    /// Part of the whole that is over, 0 to 1.
+    /// Elapsed share of the whole run, 0 to 1.
     pub fraction_done: f64,
+    /// State of the present build, as one line.
     pub message: String,
 }
 
 const NODES: usize = 8;
-const RATE: f64 = 250.0;
-const TICK: Duration = Duration::from_millis(100);
-/// How long each build has: three stages, and some seconds of calm.
-const EACH: Duration = Duration::from_secs(18);
+const HITS_PER_SECOND: f64 = 250.0;
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Time for each build: its three stages, and some seconds without a release.
+const TIME_PER_BUILD: Duration = Duration::from_secs(18);
 
-/// Runs it; returns the closing table.
-pub fn run(binary: &Path, out: &Path, mut show: impl FnMut(Progress)) -> Result<String, String> {
-    // As long as such services take; with answers of 2 ms each new connection would look like drag.
-    let usual = Manner { cores: 32, work: Duration::from_millis(40), ..Manner::default() };
-    let mut world = World::start(binary, NODES, Limits::default(), &usual, &[])?;
-    let load = world.start_load(Plan::mixed(RATE, 7));
+/// Runs the demonstration against this binary and draws its plot to `out`; returns the closing table, as an error if a
+/// rule was broken.
+pub fn run(binary: &Path, out: &Path, mut on_progress: impl FnMut(Progress)) -> Result<String, String> {
+    // 40 ms, as long as such services take: with answers of 2 ms, the opening of new connections would look like a
+    // slowdown by the build.
+    let normal_manner = Manner { cores: 32, work: Duration::from_millis(40), ..Manner::default() };
+    let mut world = World::start(binary, NODES, Limits::default(), &normal_manner, &[])?;
+    let load = world.start_load(Plan::mixed(HITS_PER_SECOND, 7));
     let stages = vec![0.1, 0.35, 1.0];
     let builds = [("good", 0.0, FIRST_BUILD + 1), ("bad", 0.35, FIRST_BUILD + 2)];
-    let (mut table, mut served, mut share_new) = (String::new(), Vec::new(), Vec::new());
+    let (mut table, mut in_time_percent, mut cap_percent) = (String::new(), Vec::new(), Vec::new());
     let _ = writeln!(
         table,
         "| build | kind | what became of it | after | delivered in time | hits | bounced | errored |"
     );
     let _ = writeln!(table, "| --- | --- | --- | --- | --- | --- | --- | --- |");
-    let mut said = Vec::new();
+    let mut stop_vote_lines = Vec::new();
     let start = world.stage.clock.elapsed();
     let mut released = FIRST_BUILD;
     for (turn, (kind, fails, build)) in builds.into_iter().enumerate() {
@@ -48,79 +52,87 @@
             start: Duration::from_millis(800),
             stage: Duration::from_millis(3_500),
         };
-        let begun = world.stage.clock.elapsed();
-        let manner = Manner { fails, ..usual.clone() };
-        let mut rollout = Rollout::new(build, released, course, begun, manner, usual.clone());
-        let mut settled = None;
+        let build_start = world.stage.clock.elapsed();
+        let manner = Manner { fails, ..normal_manner.clone() };
+        let mut rollout = Rollout::new(build, released, course, build_start, manner, normal_manner.clone());
+        let mut decided_after = None;
         load.count_anew();
-        let mut sums = (0, 0, 0, 0);
+        // Hits sent, delivered in time, bounced and errored.
+        let mut totals = (0, 0, 0, 0);
         loop {
             let now = world.stage.clock.elapsed();
-            if now - begun >= EACH {
+            if now - build_start >= TIME_PER_BUILD {
                 break;
             }
             rollout.poll(&mut world, now);
-            if settled.is_none() && rollout.outcome().is_some() {
-                settled = Some(now - begun);
+            if decided_after.is_none() && rollout.outcome().is_some() {
+                decided_after = Some(now - build_start);
             }
-            std::thread::sleep(TICK);
-            said.extend(world.program.log.try_iter().filter(|line| line.contains(" back, ")));
+            std::thread::sleep(POLL_INTERVAL);
+            stop_vote_lines.extend(world.program.log.try_iter().filter(|line| line.contains(" back, ")));
             let tallies = load.count_anew();
             let sum = |f: fn(&crate::load::Tally) -> u64| tallies.iter().map(f).sum::<u64>();
             let (asked, in_time) = (sum(|t| t.asked), sum(|t| t.in_time));
-            sums =
-                (sums.0 + asked, sums.1 + in_time, sums.2 + sum(|t| t.bounced), sums.3 + sum(|t| t.errored));
-            let at = (now - start).as_secs_f64();
-            served.push((at, in_time as f64 / (asked as f64).max(1.0) * 100.0));
+            totals = (
+                totals.0 + asked,
+                totals.1 + in_time,
+                totals.2 + sum(|t| t.bounced),
+                totals.3 + sum(|t| t.errored),
+            );
+            let seconds = (now - start).as_secs_f64();
+            in_time_percent.push((seconds, in_time as f64 / (asked as f64).max(1.0) * 100.0));
             let news = world.platform.news();
-            share_new.push((at, if news.phase == "testing" { news.cap * 100.0 } else { 0.0 }));
+            cap_percent.push((seconds, if news.phase == "testing" { news.cap * 100.0 } else { 0.0 }));
             let vote =
                 world.platform.vote_on(build, Duration::from_secs(4)).map_or("none".into(), |v| v.verdict);
-            let text = format!(
+            let message = format!(
                 "build {build} ({kind}): {}, stage {}, cap {:.0} %, vote {vote}, delivered {:.1} %",
                 news.phase,
                 rollout.stage(),
                 news.cap * 100.0,
-                sums.1 as f64 / (sums.0 as f64).max(1.0) * 100.0,
+                totals.1 as f64 / (totals.0 as f64).max(1.0) * 100.0,
             );
-            let part = (now - begun).as_secs_f64() / EACH.as_secs_f64();
-            show(Progress {
-                fraction_done: (turn as f64 + part.min(1.0)) / builds.len() as f64,
-                message: text,
+            let share_of_build = (now - build_start).as_secs_f64() / TIME_PER_BUILD.as_secs_f64();
+            on_progress(Progress {
+                fraction_done: (turn as f64 + share_of_build.min(1.0)) / builds.len() as f64,
+                message,
             });
         }
-        let (became, after) = match (rollout.outcome(), settled) {
-            (Some(true), Some(at)) => ("released", format!("{:.1} s", at.as_secs_f64())),
-            (Some(false), Some(at)) => ("sent back", format!("{:.1} s", at.as_secs_f64())),
+        let (outcome, after) = match (rollout.outcome(), decided_after) {
+            (Some(true), Some(elapsed)) => ("released", format!("{:.1} s", elapsed.as_secs_f64())),
+            (Some(false), Some(elapsed)) => ("sent back", format!("{:.1} s", elapsed.as_secs_f64())),
             _ => ("still on trial", "-".into()),
         };
         if rollout.outcome() == Some(true) {
             released = build;
         }
-        let (asked, in_time, bounced, errored) = sums;
+        let (asked, in_time, bounced, errored) = totals;
         let delivered = in_time as f64 / (asked as f64).max(1.0) * 100.0;
         let _ = writeln!(
             table,
-            "| {build} | {kind} | {became} | {after} | {delivered:.1} % | {asked} | {bounced} | {errored} |"
+            "| {build} | {kind} | {outcome} | {after} | {delivered:.1} % | {asked} | {bounced} | {errored} |"
         );
     }
     load.finish();
-    let smooth = |points: &[(f64, f64)]| -> Vec<(f64, f64)> {
+    let moving_average = |points: &[(f64, f64)]| -> Vec<(f64, f64)> {
         let mean = |w: &[(f64, f64)]| (w[w.len() - 1].0, w.iter().map(|p| p.1).sum::<f64>() / w.len() as f64);
         points.windows(10).map(mean).collect()
     };
     let lines = [
-        ("delivered in time".to_owned(), smooth(&served)),
-        ("cap of the build on trial".to_owned(), share_new),
+        ("delivered in time".to_owned(), moving_average(&in_time_percent)),
+        ("cap of the build on trial".to_owned(), cap_percent),
     ];
     plot::draw(out, "A good build, then a bad one", "per cent", &lines)?;
-    let broken = world.books.verdict();
-    let rules =
-        if broken.is_empty() { "The five rules were kept.".to_owned() } else { format!("Broken: {broken}") };
-    for line in said {
-        let why = line.split(": ").skip(1).collect::<Vec<_>>().join(": ");
-        let _ = writeln!(table, "\nThe marshal's reason: {why}");
+    let violations = world.books.verdict();
+    let rules = if violations.is_empty() {
+        "The five rules were kept.".to_owned()
+    } else {
+        format!("Broken: {violations}")
+    };
+    for line in stop_vote_lines {
+        let reason = line.split(": ").skip(1).collect::<Vec<_>>().join(": ");
+        let _ = writeln!(table, "\nThe marshal's reason: {reason}");
     }
     let _ = writeln!(table, "\n{rules} Plot: {}", out.display());
-    if broken.is_empty() { Ok(table) } else { Err(table) }
+    if violations.is_empty() { Ok(table) } else { Err(table) }
 }
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,16 +1,20 @@
-//! The laboratory: what a marshal is tried with, on loopback and without any other program.
+//! The laboratory: experiments with a marshal on loopback, which need no other program.
 //!
 //! - [`stage`]: the thread on which all stand-ins run, and their clock.
-//! - [`node`], [`discovery`], [`platform`]: stand-ins for the other parties, after the operators' protocol page.
-//! - [`load`]: usual clients, in an open loop; [`rogue`]: those that misbehave.
-//! - [`site`]: settings and configuration of a small site; [`program`]: a marshal as a process, watched from outside.
-//! - [`world`]: all of these put together, with one marshal.
-//! - [`checker`]: books of its own on every hit and forward, and which of the five rules broke.
-//! - [`release`], [`faults`]: what happens to a site, as decisions without I/O.
-//! - [`cost`], [`sizes`]: what a hit and a connection cost in time and memory.
-//! - [`soak`], [`demo`]: long and short runs of a world; [`trend`] judges what was seen, [`plot`] draws it.
+//! - [`node`], [`discovery`], [`platform`]: stand-ins for the other parties, written from the operators' protocol
+//!   page.
+//! - [`load`]: well-behaved clients in an open loop; [`rogue`]: misbehaving clients.
+//! - [`site`]: settings and configuration of a small site; [`program`]: a marshal as a child process, observed from
+//!   outside.
+//! - [`world`]: a running site, made of all of these and one marshal.
+//! - [`checker`]: records every hit and forward independently of the marshal, and reports violations of the five rules.
+//! - [`release`], [`faults`]: the course of a release and the schedule of troubles, without I/O; [`rollout`] carries a
+//!   release out.
+//! - [`cost`], [`sizes`]: processor time of a hit, memory of a hit and of a connection.
+//! - [`soak`], [`demo`]: long and short runs of a site; [`trend`] tests samples for growth, [`plot`] draws them.
 //!
-//! Handles are plain values: stories are written as ordinary code, while the stand-ins live on their own thread.
+//! Handles are plain values: tests are written as ordinary sequential code, while the stand-ins run on their own
+//! thread.
 
 pub mod checker;
 pub mod cost;
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -6,119 +6,120 @@
 use std::process::ExitCode;
 use stonescale_lab::{cost, demo, sizes, soak};
 
-/// A stated tolerance was missed.
-const MISSED: u8 = 3;
+/// Exit code where a stated tolerance was missed.
+const EXIT_TOLERANCE_MISSED: u8 = 3;
 
-/// Tries a marshal on loopback, with stand-ins for everything else. Ends with 0 where all is good, 1 where something
-/// failed, 2 on wrong usage, 3 where a stated tolerance was missed.
+/// Runs experiments with a marshal on loopback, with stand-ins for everything else. Exits with 0 on success, 1 on a
+/// failure, 2 on wrong usage, 3 where a stated tolerance was missed.
 #[derive(Parser)]
 #[command(name = "stonescale-lab", version, about, long_about, disable_help_subcommand = true)]
-struct Line {
+struct CommandLine {
     #[command(subcommand)]
     command: Command,
 }
 
 #[derive(Subcommand)]
 enum Command {
-    /// See a good and a bad build offered to a small fleet; under a minute, needs no file
+    /// Offer a good and a bad build to a small fleet and show what happens; takes under a minute, needs no file
     Demo {
         #[command(flatten)]
-        marshal: Marshal,
-        /// Where the plot goes
+        marshal: MarshalArgs,
+        /// File to which the plot is written
         #[arg(long, value_name = "FILE", default_value = "stonescale-demo.svg")]
         plot: PathBuf,
     },
-    /// Time two builds of the marshal against each other, in turns within one run
+    /// Compare the processor time per hit of two builds of the marshal, in alternating rounds
     Cost {
         #[command(flatten)]
-        marshal: Marshal,
-        /// The build to compare with
+        marshal: MarshalArgs,
+        /// Program of the build to compare with
         #[arg(long, value_name = "FILE")]
         versus: PathBuf,
-        /// Rounds of each
+        /// Rounds of each build
         #[arg(long, default_value_t = 9)]
         rounds: usize,
-        /// Hits a second
+        /// Hits per second
         #[arg(long, default_value_t = 3_000.0)]
         rate: f64,
-        /// Seconds a round
+        /// Seconds per round
         #[arg(long, default_value_t = 3)]
         seconds: u64,
     },
-    /// Measure what connections and a hit occupy, against what the plan of memory counts for them
+    /// Measure the memory of connections and of a hit, and compare it with what the memory plan counts for them
     Sizes {
         #[command(flatten)]
-        marshal: Marshal,
+        marshal: MarshalArgs,
     },
-    /// Run a marshal among troubles for long, and say whether its memory stays flat
+    /// Run a marshal through cycles of faults, and report whether its memory stays flat
     Soak {
-        /// The scenario, an INI file (deploy/soak-short.ini shows one)
+        /// Scenario, an INI file such as deploy/soak-short.ini
         scenario: PathBuf,
         #[command(flatten)]
-        marshal: Marshal,
-        /// The folder for samples, plots and table
+        marshal: MarshalArgs,
+        /// Folder to which samples, plots and report are written
         #[arg(long, value_name = "FOLDER")]
         out: Option<PathBuf>,
     },
 }
 
 #[derive(Args)]
-struct Marshal {
-    /// The program of the marshal; else `stonescale` beside this one
+struct MarshalArgs {
+    /// Program of the marshal; by default `stonescale` in the folder of this program
     #[arg(long, value_name = "FILE")]
     marshal: Option<PathBuf>,
 }
 
-impl Marshal {
+impl MarshalArgs {
+    /// The marshal's program; an error if there is no such file.
     fn program(&self) -> Result<PathBuf, String> {
-        let here = std::env::current_exe().map_err(|e| e.to_string())?;
-        let program = self.marshal.clone().unwrap_or_else(|| here.with_file_name("stonescale"));
+        let own_path = std::env::current_exe().map_err(|e| e.to_string())?;
+        let program = self.marshal.clone().unwrap_or_else(|| own_path.with_file_name("stonescale"));
         if program.is_file() {
             return Ok(program);
         }
-        Err(format!("{}: no such program; build it, or name one by --marshal", program.display()))
+        Err(format!("{}: no such program; build it, or name one with --marshal", program.display()))
     }
 }
 
 fn main() -> ExitCode {
-    match run(Line::parse().command) {
+    match run(CommandLine::parse().command) {
         Ok(true) => ExitCode::SUCCESS,
-        Ok(false) => ExitCode::from(MISSED),
-        Err(why) => {
-            eprintln!("stonescale-lab: {why}");
+        Ok(false) => ExitCode::from(EXIT_TOLERANCE_MISSED),
+        Err(error) => {
+            eprintln!("stonescale-lab: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
-fn bar() -> ProgressBar {
+fn progress_bar() -> ProgressBar {
     let bar = ProgressBar::new(1_000);
     let style = ProgressStyle::with_template("{bar:30} {percent:>3} %  {wide_msg}");
     bar.set_style(style.unwrap_or_else(|_| ProgressStyle::default_bar()));
     bar
 }
 
-/// Runs a command; false where a stated tolerance was missed.
+/// Runs a command; returns false if a stated tolerance was missed.
 fn run(command: Command) -> Result<bool, String> {
     match command {
         Command::Demo { marshal, plot } => {
-            let (program, bar) = (marshal.program()?, bar());
-            let table = demo::run(&program, &plot, |seen| {
-                bar.set_position((seen.fraction_done * 1_000.0) as u64);
-                bar.set_message(seen.message);
+            let (program, bar) = (marshal.program()?, progress_bar());
+            let table = demo::run(&program, &plot, |progress| {
+                bar.set_position((progress.fraction_done * 1_000.0) as u64);
+                bar.set_message(progress.message);
             })?;
             bar.finish_and_clear();
             println!("{table}");
             Ok(true)
         }
         Command::Cost { marshal, versus, rounds, rate, seconds } => {
-            let course = cost::Measurement {
+            let measurement = cost::Measurement {
                 rounds,
                 hits_per_second: rate,
                 round_duration: std::time::Duration::from_secs(seconds),
             };
-            let sides = cost::run(&marshal.program()?, &versus, course)?;
-            println!("{}", cost::table(["this", "versus"], &sides));
+            let costs = cost::run(&marshal.program()?, &versus, measurement)?;
+            println!("{}", cost::table(["this", "versus"], &costs));
             Ok(true)
         }
         Command::Sizes { marshal } => {
@@ -127,9 +128,9 @@
         }
         Command::Soak { scenario, marshal, out } => {
             let scenario = soak::Scenario::read(&scenario)?;
-            let (program, bar) = (marshal.program()?, bar());
-            let report = soak::run(&scenario, &program, out.as_deref(), |at, length, trouble| {
-                bar.set_position((at.as_secs_f64() / length.as_secs_f64() * 1_000.0) as u64);
+            let (program, bar) = (marshal.program()?, progress_bar());
+            let report = soak::run(&scenario, &program, out.as_deref(), |elapsed, length, trouble| {
+                bar.set_position((elapsed.as_secs_f64() / length.as_secs_f64() * 1_000.0) as u64);
                 bar.set_message(trouble.name());
             })?;
             bar.finish_and_clear();
--- a/crates/lab/src/rollout.rs
+++ b/crates/lab/src/rollout.rs
@@ -1,4 +1,5 @@
-//! Carries a release out on a world: starts, drains and removes its nodes, tells the platform, counts the votes.
+//! Carries out a release on a running site: starts, drains and removes its nodes, makes the platform announce its
+//! stages, and follows the marshal's votes.
 
 use crate::node::Manner;
 use crate::platform::News;
@@ -6,63 +7,81 @@
 use crate::world::World;
 use std::time::Duration;
 
-/// For so long a vote stands, by the site's settings.
-const STANDS: Duration = Duration::from_secs(4);
+/// Time for which a vote is valid, as `vote_stands_ns` in the site's settings.
+const VOTE_VALIDITY: Duration = Duration::from_secs(4);
 
+/// A release under way.
 pub struct Rollout {
+    /// The build that is offered.
     pub build: u16,
-    before: u16,
+    /// The build that it replaces.
+    old_build: u16,
     release: Release,
-    manner: Manner,
-    /// How nodes of the earlier build work.
-    usual: Manner,
-    fresh: Vec<String>,
-    leaving: Vec<String>,
+    /// How nodes of the new build work.
+    new_manner: Manner,
+    /// How nodes of the old build work.
+    old_manner: Manner,
+    /// Names of the new build's nodes.
+    new_nodes: Vec<String>,
+    /// Names of the nodes that are draining.
+    draining: Vec<String>,
 }
 
 impl Rollout {
-    /// Offers `build` in place of `before`; its nodes work by `manner`.
+    /// Offers `build` in place of `old_build`, whose nodes work by `old_manner`; nodes of `build` work by `new_manner`.
     pub fn new(
-        build: u16, before: u16, course: Course, now: Duration, manner: Manner, usual: Manner,
+        build: u16, old_build: u16, course: Course, now: Duration, new_manner: Manner, old_manner: Manner,
     ) -> Self {
-        let (fresh, leaving) = (Vec::new(), Vec::new());
-        Rollout { build, before, release: Release::new(course, now), manner, usual, fresh, leaving }
+        let (new_nodes, draining) = (Vec::new(), Vec::new());
+        Rollout {
+            build,
+            old_build,
+            release: Release::new(course, now),
+            new_manner,
+            old_manner,
+            new_nodes,
+            draining,
+        }
     }
 
+    /// Whether the build was released, once that is decided.
     pub fn outcome(&self) -> Option<bool> {
         self.release.outcome()
     }
 
+    /// The stage that it is in.
     pub fn stage(&self) -> usize {
         self.release.stage()
     }
 
-    /// Does what is due.
+    /// Carries out the steps that are due at `now`, by the marshal's present vote.
     pub fn poll(&mut self, world: &mut World, now: Duration) {
-        let vote = world.platform.vote_on(self.build, STANDS);
-        let said = |verdict: &str| vote.as_ref().is_some_and(|v| v.verdict == verdict);
-        for step in self.release.poll(now, said("stop"), said("stay")) {
+        let vote = world.platform.vote_on(self.build, VOTE_VALIDITY);
+        let verdict_is = |verdict: &str| vote.as_ref().is_some_and(|v| v.verdict == verdict);
+        for step in self.release.poll(now, verdict_is("stop"), verdict_is("stay")) {
             match step {
                 Step::Tell(stage, phase, cap) => {
                     world.platform.tell(News { build: self.build, stage, phase, cap });
                 }
-                Step::Start(many) => self.fresh.extend(world.add_nodes(many, self.build, &self.manner)),
-                Step::Drain(many) => {
+                Step::Start(count) => {
+                    self.new_nodes.extend(world.add_nodes(count, self.build, &self.new_manner))
+                }
+                Step::Drain(count) => {
                     let old = world.nodes.iter().map(|n| n.name.clone());
-                    let old = old.filter(|n| !self.fresh.contains(n) && !self.leaving.contains(n));
-                    let old: Vec<_> = old.take(many).collect();
+                    let old = old.filter(|n| !self.new_nodes.contains(n) && !self.draining.contains(n));
+                    let old: Vec<_> = old.take(count).collect();
                     world.set_node_state(&old, "draining");
-                    self.leaving.extend(old);
+                    self.draining.extend(old);
                 }
-                Step::Return(many) => {
-                    let fresh = std::mem::take(&mut self.fresh);
-                    world.set_node_state(&fresh, "draining");
-                    self.leaving.extend(fresh);
-                    world.add_nodes(many, self.before, &self.usual);
+                Step::Return(count) => {
+                    let new_nodes = std::mem::take(&mut self.new_nodes);
+                    world.set_node_state(&new_nodes, "draining");
+                    self.draining.extend(new_nodes);
+                    world.add_nodes(count, self.old_build, &self.old_manner);
                 }
                 Step::Remove => {
-                    let gone = std::mem::take(&mut self.leaving);
-                    world.set_node_state(&gone, "removed");
+                    let drained = std::mem::take(&mut self.draining);
+                    world.set_node_state(&drained, "removed");
                 }
             }
         }
--- a/crates/lab/src/soak.rs
+++ b/crates/lab/src/soak.rs
@@ -23,8 +23,8 @@
 const MIB: f64 = 1024.0 * 1024.0;
 /// Interval at which the run applies troubles, advances a release and reads the marshal's log.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Unaccounted memory up to this size is always tolerated: it covers what the process holds before it serves any client,
-/// with some margin.
+/// Unaccounted memory up to this size is always tolerated: it covers what the process holds before it serves any
+/// client, with some margin.
 const UNACCOUNTED_FLOOR_BYTES: f64 = 4.0 * MIB;
 
 /// Settings of a soak test, read from an INI file.
@@ -215,8 +215,8 @@
     caps: BTreeMap<String, f64>,
 }
 
-/// Runs a soak test against this binary and writes samples, plots and report to `out`, if given. `on_progress` is called
-/// at every poll with the elapsed time, the total length and the trouble of the present phase.
+/// Runs a soak test against this binary and writes samples, plots and report to `out`, if given. `on_progress` is
+/// called at every poll with the elapsed time, the total length and the trouble of the present phase.
 pub fn run(
     scenario: &Scenario, binary: &Path, out: Option<&Path>,
     mut on_progress: impl FnMut(Duration, Duration, Trouble),
@@ -497,15 +497,15 @@
 
     /// Writes the samples, the plots and the report to a folder.
     fn write_files(&self, out: &Path, report: &Report) -> Result<(), String> {
-        let fault = |e: std::io::Error| format!("{}: {e}", out.display());
+        let error = |e: std::io::Error| format!("{}: {e}", out.display());
         let mut csv = String::from("seconds,name,value\n");
         for (name, series) in &self.series {
             for (at, value) in series {
                 let _ = writeln!(csv, "{at:.2},{name},{value}");
             }
         }
-        std::fs::write(out.join("samples.csv"), csv).map_err(fault)?;
-        std::fs::write(out.join("report.md"), report.table()).map_err(fault)?;
+        std::fs::write(out.join("samples.csv"), csv).map_err(error)?;
+        std::fs::write(out.join("report.md"), report.table()).map_err(error)?;
         let series_in_kib = |selects: &dyn Fn(&str) -> bool| -> Vec<plot::NamedSeries> {
             let selected = self.series.iter().filter(|(name, _)| selects(name));
             selected
--- a/crates/lab/src/trend.rs
+++ b/crates/lab/src/trend.rs
@@ -1,37 +1,47 @@
-//! Is a figure flat over time? The slope of a straight line through block means, with its confidence bound: single
-//! samples swing with the troubles of the moment, and blocks of a whole cycle do not.
+//! Tests whether a figure is flat over time: ordinary least squares on block means, with the 95 % confidence interval
+//! of the slope by Student's t distribution. Single samples vary with the trouble of the moment; the means of blocks
+//! that span a whole cycle don't.
 
-/// Slope of a line through samples, and how sure it is.
+/// Slope of a fitted line, with its confidence interval.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Trend {
-    /// Units a second.
+    /// Slope in units per second.
     pub slope: f64,
-    /// Half the width of the interval that holds the slope with 95 %.
+    /// Half the width of the slope's 95 % confidence interval, in units per second.
     pub slope_margin: f64,
+    /// Mean of the block means.
     pub mean: f64,
+    /// Maximum of the samples.
     pub max: f64,
+    /// Number of blocks that the line was fitted to.
     pub block_count: usize,
 }
 
-/// Fewest blocks that tell a trend from chance.
-const FEWEST: usize = 4;
+/// Fewer blocks don't distinguish a trend from chance.
+const MIN_BLOCKS: usize = 4;
 
 impl Trend {
-    /// The trend of samples (seconds, figure), in blocks of `block` seconds; none from too few blocks.
-    pub fn fit(samples: &[(f64, f64)], block: f64) -> Option<Self> {
+    /// Fits a line to samples (seconds, value), averaged over blocks of `block_seconds`; none if there are too few
+    /// blocks.
+    pub fn fit(samples: &[(f64, f64)], block_seconds: f64) -> Option<Self> {
         let start = samples.first()?.0;
+        // By block: number of samples, sum of their times, sum of their values.
         let mut sums: Vec<(f64, f64, f64)> = Vec::new();
         for (at, value) in samples {
-            let number = ((at - start) / block.max(f64::MIN_POSITIVE)) as usize;
+            let number = ((at - start) / block_seconds.max(f64::MIN_POSITIVE)) as usize;
             sums.resize(sums.len().max(number + 1), (0.0, 0.0, 0.0));
             let sum = &mut sums[number];
             *sum = (sum.0 + 1.0, sum.1 + at, sum.2 + value);
         }
-        // A last block that was cut short would weigh as much as a whole one.
-        let usual = sums.first()?.0;
-        let blocks: Vec<_> =
-            sums.iter().filter(|s| s.0 >= usual / 2.0).map(|(n, at, value)| (at / n, value / n)).collect();
-        if blocks.len() < FEWEST {
+        // Blocks with less than half the samples of the first one, such as a last one that was cut short, are left out:
+        // they would weigh as much as whole ones.
+        let samples_per_block = sums.first()?.0;
+        let blocks: Vec<_> = sums
+            .iter()
+            .filter(|s| s.0 >= samples_per_block / 2.0)
+            .map(|(n, at, value)| (at / n, value / n))
+            .collect();
+        if blocks.len() < MIN_BLOCKS {
             return None;
         }
         let n = blocks.len() as f64;
@@ -40,35 +50,35 @@
         let sxx: f64 = blocks.iter().map(|b| (b.0 - x).powi(2)).sum();
         let sxy: f64 = blocks.iter().map(|b| (b.0 - x) * (b.1 - y)).sum();
         let slope = sxy / sxx;
-        let rest: f64 = blocks.iter().map(|b| (b.1 - y - slope * (b.0 - x)).powi(2)).sum();
-        let error = (rest / (n - 2.0) / sxx).sqrt();
-        let most = samples.iter().map(|s| s.1).fold(f64::NEG_INFINITY, f64::max);
+        let squared_residuals: f64 = blocks.iter().map(|b| (b.1 - y - slope * (b.0 - x)).powi(2)).sum();
+        let standard_error = (squared_residuals / (n - 2.0) / sxx).sqrt();
+        let max = samples.iter().map(|s| s.1).fold(f64::NEG_INFINITY, f64::max);
         Some(Trend {
             slope,
-            slope_margin: student(blocks.len() - 2) * error,
+            slope_margin: student_t_quantile(blocks.len() - 2) * standard_error,
             mean: y,
-            max: most,
+            max,
             block_count: blocks.len(),
         })
     }
 
-    /// It surely grows by less than `tolerance` units a second.
+    /// Whether the whole confidence interval is within `tolerance`, in units per second.
     pub fn is_flat(&self, tolerance: f64) -> bool {
         self.slope + self.slope_margin <= tolerance
     }
 
-    /// It surely grows by more.
+    /// Whether the whole confidence interval is above `tolerance`, in units per second.
     pub fn is_growing(&self, tolerance: f64) -> bool {
         self.slope - self.slope_margin > tolerance
     }
 }
 
-/// The quantile of Student's distribution at 97.5 %, by degrees of freedom; a table of what is printed in every
-/// textbook, with the normal one beyond it.
-fn student(freedom: usize) -> f64 {
+/// The 97.5 % quantile of Student's t distribution: the textbook table up to 20 degrees of freedom, and an
+/// approximation that tends to the normal quantile of 1.96 beyond it.
+fn student_t_quantile(degrees_of_freedom: usize) -> f64 {
     const TABLE: [f64; 20] = [
         12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228, 2.201, 2.179, 2.160, 2.145,
         2.131, 2.120, 2.110, 2.101, 2.093, 2.086,
     ];
-    TABLE.get(freedom.saturating_sub(1)).copied().unwrap_or(1.96 + 2.5 / freedom as f64)
+    TABLE.get(degrees_of_freedom.saturating_sub(1)).copied().unwrap_or(1.96 + 2.5 / degrees_of_freedom as f64)
 }
--- a/crates/lab/src/world.rs
+++ b/crates/lab/src/world.rs
@@ -65,8 +65,8 @@
         Load::start(&self.stage, self.books.clone(), self.groups.clone(), vec![self.program.addr], plan)
     }
 
-    /// Starts misbehaving clients, which send hits of this path group with bodies of `body` bytes until the returned value
-    /// is dropped. Each hit states a wait of 1.5 s.
+    /// Starts misbehaving clients, which send hits of this path group with bodies of `body` bytes until the returned
+    /// value is dropped. Each hit states a wait of 1.5 s.
     pub fn start_rogues(&self, manner: rogue::Manner, count: usize, group: usize, body: usize) -> Rogues {
         self.start_rogues_with_timeout(manner, count, group, body, Duration::from_millis(1_500))
     }
--- a/crates/lab/tests/books.rs
+++ b/crates/lab/tests/books.rs
@@ -21,8 +21,8 @@
     Asked { group: 0, effect, mark: None, patience: Span::millis(500) }
 }
 
-/// A checker that knows the released build 4 on node `old`, build 5 in testing with a cap of 0.1 on node `new`, and a hit
-/// `h` that a client sent at time zero.
+/// A checker that knows the released build 4 on node `old`, build 5 in testing with a cap of 0.1 on node `new`, and a
+/// hit `h` that a client sent at time zero.
 fn books(effect: Effect) -> Checker {
     let mut books = Checker::new(Bounds::default(), 0.1);
     books.staged(4, false, 1.0, at(0));
