--- a/crates/lab/src/demo.rs
+++ b/crates/lab/src/demo.rs
@@ -26,9 +26,9 @@
 /// Time for each build: its three stages, and some seconds without a release.
 const TIME_PER_BUILD: Duration = Duration::from_secs(18);
 
-/// Runs the demonstration against this binary and draws its plot to `out`; returns the closing table, as an error if a
-/// rule was broken.
-pub fn run(binary: &Path, out: &Path, mut on_progress: impl FnMut(Progress)) -> Result<String, String> {
+/// Runs the demonstration against this binary and draws its plot to `plot_path`; returns the closing table, as an error if
+/// a rule was broken.
+pub fn run(binary: &Path, plot_path: &Path, mut on_progress: impl FnMut(Progress)) -> Result<String, String> {
     // 40 ms, as long as such services take: with answers of 2 ms, the opening of new connections would look like a
     // slowdown by the build.
     let normal_manner = Manner { cores: 32, work: Duration::from_millis(40), ..Manner::default() };
@@ -118,11 +118,11 @@
         let mean = |w: &[(f64, f64)]| (w[w.len() - 1].0, w.iter().map(|p| p.1).sum::<f64>() / w.len() as f64);
         points.windows(10).map(mean).collect()
     };
-    let lines = [
+    let series = [
         ("delivered in time".to_owned(), moving_average(&in_time_percent)),
         ("cap of the build on trial".to_owned(), cap_percent),
     ];
-    plot::draw(out, "A good build, then a bad one", "per cent", &lines)?;
+    plot::draw(plot_path, "A good build, then a bad one", "per cent", &series)?;
     let violations = world.books.verdict();
     let rules = if violations.is_empty() {
         "The five rules were kept.".to_owned()
@@ -133,6 +133,6 @@
         let reason = line.split(": ").skip(1).collect::<Vec<_>>().join(": ");
         let _ = writeln!(table, "\nThe marshal's reason: {reason}");
     }
-    let _ = writeln!(table, "\n{rules} Plot: {}", out.display());
+    let _ = writeln!(table, "\n{rules} Plot: {}", plot_path.display());
     if violations.is_empty() { Ok(table) } else { Err(table) }
 }
--- a/crates/lab/src/soak.rs
+++ b/crates/lab/src/soak.rs
@@ -30,6 +30,7 @@
 /// Settings of a soak test, read from an INI file.
 #[derive(Clone, Debug)]
 pub struct Scenario {
+    /// Seed of the load and of the order of the troubles.
     pub seed: u64,
     pub nodes: usize,
     pub limits: Limits,
@@ -39,7 +40,7 @@
     pub keepalive: Duration,
     /// Hits per second of well-behaved clients.
     pub hits_per_second: f64,
-    /// Number of misbehaving clients while a trouble of clients is on.
+    /// Number of misbehaving clients in a phase whose trouble consists of them.
     pub rogues_per_trouble: usize,
     /// Length of a phase, which has one trouble in its first half and none in the second.
     pub phase_length: Duration,
@@ -59,6 +60,7 @@
     pub max_unaccounted_share: f64,
 }
 
+/// A parser of numbers from `min` to `max`.
 fn parse_number<T: std::str::FromStr + PartialOrd + Copy + std::fmt::Display + 'static>(
     min: T, max: T,
 ) -> impl Fn(&str) -> Result<T, String> {
@@ -68,6 +70,7 @@
     }
 }
 
+/// Parses `all` or a comma-separated list of troubles.
 fn parse_troubles(text: &str) -> Result<Vec<Trouble>, String> {
     if text == "all" {
         return Ok(faults::ALL.to_vec());
@@ -215,10 +218,10 @@
     caps: BTreeMap<String, f64>,
 }
 
-/// Runs a soak test against this binary and writes samples, plots and report to `out`, if given. `on_progress` is
-/// called at every poll with the elapsed time, the total length and the trouble of the present phase.
+/// Runs a soak test against this binary and writes samples, plots and report to `output_folder`, if given.
+/// `on_progress` is called at every poll with the elapsed time, the total length and the trouble of the present phase.
 pub fn run(
-    scenario: &Scenario, binary: &Path, out: Option<&Path>,
+    scenario: &Scenario, binary: &Path, output_folder: Option<&Path>,
     mut on_progress: impl FnMut(Duration, Duration, Trouble),
 ) -> Result<Report, String> {
     let operator_file = unique_temp_path("ini");
@@ -273,9 +276,9 @@
     }
     run.end_trouble();
     let report = run.evaluate(&load, &schedule);
-    if let Some(out) = out {
-        std::fs::create_dir_all(out).map_err(|e| format!("{}: {e}", out.display()))?;
-        run.write_files(out, &report)?;
+    if let Some(folder) = output_folder {
+        std::fs::create_dir_all(folder).map_err(|e| format!("{}: {e}", folder.display()))?;
+        run.write_files(folder, &report)?;
     }
     let _ = std::fs::remove_file(&operator_file);
     Ok(report)
@@ -496,16 +499,16 @@
     }
 
     /// Writes the samples, the plots and the report to a folder.
-    fn write_files(&self, out: &Path, report: &Report) -> Result<(), String> {
-        let error = |e: std::io::Error| format!("{}: {e}", out.display());
+    fn write_files(&self, folder: &Path, report: &Report) -> Result<(), String> {
+        let error = |e: std::io::Error| format!("{}: {e}", folder.display());
         let mut csv = String::from("seconds,name,value\n");
         for (name, series) in &self.series {
             for (at, value) in series {
                 let _ = writeln!(csv, "{at:.2},{name},{value}");
             }
         }
-        std::fs::write(out.join("samples.csv"), csv).map_err(error)?;
-        std::fs::write(out.join("report.md"), report.table()).map_err(error)?;
+        std::fs::write(folder.join("samples.csv"), csv).map_err(error)?;
+        std::fs::write(folder.join("report.md"), report.table()).map_err(error)?;
         let series_in_kib = |selects: &dyn Fn(&str) -> bool| -> Vec<plot::NamedSeries> {
             let selected = self.series.iter().filter(|(name, _)| selects(name));
             selected
@@ -514,9 +517,9 @@
         };
         let of_process = ["resident", "unaccounted"];
         let purposes = series_in_kib(&|name| !of_process.contains(&name) && name != "descriptors");
-        plot::draw(&out.join("purposes.svg"), "Held by purpose", "KiB", &purposes)?;
+        plot::draw(&folder.join("purposes.svg"), "Held by purpose", "KiB", &purposes)?;
         plot::draw(
-            &out.join("process.svg"),
+            &folder.join("process.svg"),
             "The process",
             "KiB",
             &series_in_kib(&|name| of_process.contains(&name)),
@@ -533,8 +536,8 @@
         let _ = writeln!(
             text,
             "{:.0} s; {asked} regular hits in {tries} tries, {delivered} delivered; {} hits of misbehaving clients; \
-             {} builds; {:.1} s of processor time; resident {:.2} MiB at most of {:.0}; unaccounted {:.0} % on average, \
-             {:.2} MiB at most\n",
+             {} builds; {:.1} s of processor time; resident {:.2} MiB at most of {:.0}; \
+             unaccounted {:.0} % on average, {:.2} MiB at most\n",
             self.duration_seconds,
             self.rogue_hits,
             self.builds_offered,
