--- a/crates/lab/src/demo.rs
+++ b/crates/lab/src/demo.rs
@@ -26,8 +26,8 @@
 /// Time for each build: its three stages, and some seconds without a release.
 const TIME_PER_BUILD: Duration = Duration::from_secs(18);
 
-/// Runs the demonstration against this binary and draws its plot to `plot_path`; returns the closing table, as an error if
-/// a rule was broken.
+/// Runs the demonstration against this binary and draws its plot to `plot_path`; returns the closing table, as an error
+/// if a rule was broken.
 pub fn run(binary: &Path, plot_path: &Path, mut on_progress: impl FnMut(Progress)) -> Result<String, String> {
     // 40 ms, as long as such services take: with answers of 2 ms, the opening of new connections would look like a
     // slowdown by the build.
