--- a/src/load_shedding.rs
+++ b/src/load_shedding.rs
@@ -1,145 +1,166 @@
-//! How long an answer may be expected to take before a hit is bounced at once. One queue at each node serves all path
-//! groups: where each let it grow as its own target latency allows, those with much patience would fill it past the
-//! target of those with little, and these would get nothing, however much was left for the others. So hits keep to the
-//! wait that the least patient path group can stand, as long as that is a real part of the traffic and can be served
-//! in time at all. The least worth is given up first, but no path group for the sake of the others alone.
+//! Load shedding: how long an answer may be expected to take before a hit is bounced at once. One queue at each node
+//! serves all path groups. If each path group let it grow as its own target latency allows, hits with much patience
+//! would fill it past the target of those with little, which would get no answers in time, however much capacity was
+//! left for the others. So all hits keep to the wait that the least patient path group tolerates, as long as that is a
+//! real part of the traffic and can be served in time at all. Hits of the least value are shed first, but no path group
+//! is shed entirely for the sake of the others.
 
 use crate::settings::PathGroup;
 
-/// Of what the target latency leaves past the usual answer time: what a queue may add to the best hits' answers. With
-/// more, answers that scatter come late as often as not, and so do those of clients that were turned away once, whose
-/// time runs on.
-const LONGEST: f64 = 0.5;
-/// Of that, for worthless ones.
-const LEAST_WORTH: f64 = 0.4;
-/// Part of the traffic from which on a path group's target binds the others too: so rare a one costs more than it brings.
-const COUNTS: f64 = 1.0 / 20.0;
-/// Weight of a hit in the shares of the path groups.
-const SHARE: f64 = 0.01;
-/// A path group's usual answer time is the least that its answers took of late, a mean over so many; it rises by so much
-/// with each, should they have become slower for good. A mean over all would take a marshal that began in a queue, or a day
-/// that is overloaded from its start, for usual. The first guess counts for so many answers.
-const RECENT: f64 = 1.0 / 16.0;
-const LEARN: f64 = 0.001;
-const GUESS: f64 = 2.0;
-/// Of the target latency: a path group that usually takes longer can hardly be served, and would bind the others for
-/// nothing.
-const OVER: f64 = 0.5;
-/// Weight of a look in what forwards took lately, and how many answers in their usual time it begins with.
-const LATELY: f64 = 0.2;
-const BEGIN: f64 = 2.0;
-/// Forwards out that tell of no queue: one that stands alone may be lost.
-const ALONE: f64 = 1.0;
-/// How steeply more are shed past the longest wait: half of them at 1.1 times it, nearly all at 1.5 times. Were all shed at
-/// once, a marshal would go without and with a queue by turns; were it flatter, the wait would stand far past its bound.
-const STEEP: i32 = 8;
-/// Most that is shed: the few that go all the same show when the wait is over.
-const MOST: f64 = 0.95;
-/// Of all hits, those that are given up by the wait alone, whatever they are worth: each path group so keeps half
-/// of what the best one gets. Only what is worth nothing by the settings has no such part.
-pub const ALIKE: f64 = 0.5;
+/// Part of the slack, which is the target latency less the usual answer time, that a queue may use up for hits of the
+/// highest value. With more, answers whose times vary are late as often as not, and so are those of clients that were
+/// bounced once, whose time keeps running.
+const QUEUE_SLACK_SHARE: f64 = 0.5;
+/// Of that part, what hits of no value may use up.
+const ZERO_VALUE_SLACK_SHARE: f64 = 0.4;
+/// Share of the traffic from which a path group's target limits the others too: a rarer one costs more than it brings.
+const MIN_BINDING_SHARE: f64 = 1.0 / 20.0;
+/// Weight of a hit in the traffic shares of the path groups.
+const TRAFFIC_SHARE_WEIGHT: f64 = 0.01;
+/// A path group's usual answer time is the minimum over time of a moving average with this weight, raised by a small
+/// factor with each answer, in case answers have become slower for good. A mean over all answers would take a marshal
+/// that started with a queue, or a day that is overloaded from its start, for usual. The initial estimate counts as a
+/// number of answers.
+const RECENT_WEIGHT: f64 = 1.0 / 16.0;
+const USUAL_GROWTH: f64 = 0.001;
+const INITIAL_ESTIMATE_ANSWERS: f64 = 2.0;
+/// Of the target latency: a path group that usually takes longer can hardly be served, and would limit the others in
+/// vain.
+const MAX_USUAL_TARGET_SHARE: f64 = 0.5;
+/// Weight of an evaluation interval in the recent answer time, and the number of answers in their usual time that it
+/// starts with.
+const INTERVAL_WEIGHT: f64 = 0.2;
+const INITIAL_ANSWERS: f64 = 2.0;
+/// Queued forwards that don't count as a queue: a single one may be lost.
+const IGNORED_FORWARDS: f64 = 1.0;
+/// How steeply more hits are shed past the longest expected time: half of them at 1.1 times it, nearly all at 1.5 times.
+/// If all were shed at once, a marshal would alternate between no queue and a full one; with a flatter curve, the wait
+/// would settle far past its bound.
+const SHED_EXPONENT: i32 = 8;
+/// Most that is shed: the few hits that are forwarded anyway show when the wait is over.
+const MAX_SHED_SHARE: f64 = 0.95;
+/// Share of all hits that are shed by the wait alone, whatever their value: each path group so keeps half of what the
+/// one of the highest value gets. Only path groups of no benefit by the settings have no such share.
+pub const VALUE_BLIND_SHARE: f64 = 0.5;
 
-/// What is usual: answer times by path group in seconds, and the traffic's parts.
+/// Usual answer times by path group in seconds, the traffic shares, and the recent answer time.
 #[derive(Default)]
-pub struct Waits {
-    targets: Vec<f64>,
-    usual: Vec<f64>,
-    recent: Vec<f64>,
-    met: Vec<f64>,
-    shares: Vec<f64>,
-    /// Seconds that forwards were out, and how many left their queues, both lately.
-    out: f64,
-    answers: f64,
+pub struct LoadShedder {
+    target_seconds: Vec<f64>,
+    usual_seconds: Vec<f64>,
+    recent_seconds: Vec<f64>,
+    answer_counts: Vec<f64>,
+    traffic_shares: Vec<f64>,
+    /// Seconds that forwards stood in queues, and how many left them, both with exponential decay.
+    queued_seconds: f64,
+    dequeued: f64,
 }
 
-impl Waits {
-    /// Until learnt, an answer is expected in a quarter of the target latency, and the path groups come alike.
-    pub fn of(groups: &[PathGroup]) -> Self {
-        let targets: Vec<f64> = groups.iter().map(|g| g.target_latency.seconds()).collect();
-        let usual: Vec<f64> = targets.iter().map(|target| target / 4.0).collect();
-        let shares = vec![1.0 / groups.len().max(1) as f64; groups.len()];
-        Waits {
-            targets,
-            recent: usual.clone(),
-            usual,
-            met: vec![0.0; groups.len()],
-            shares,
-            ..Waits::default()
+impl LoadShedder {
+    /// Before any answer, answers are expected in a quarter of the target latency, and equal traffic from all path
+    /// groups.
+    pub fn new(groups: &[PathGroup]) -> Self {
+        let target_seconds: Vec<f64> = groups.iter().map(|g| g.target_latency.seconds()).collect();
+        let usual_seconds: Vec<f64> = target_seconds.iter().map(|target| target / 4.0).collect();
+        let traffic_shares = vec![1.0 / groups.len().max(1) as f64; groups.len()];
+        LoadShedder {
+            target_seconds,
+            recent_seconds: usual_seconds.clone(),
+            usual_seconds,
+            answer_counts: vec![0.0; groups.len()],
+            traffic_shares,
+            ..LoadShedder::default()
         }
     }
 
     /// Usual answer time of a path group, in seconds.
-    pub fn usual(&self, group: usize) -> f64 {
-        self.usual[group]
+    pub fn usual_seconds(&self, group: usize) -> f64 {
+        self.usual_seconds[group]
     }
 
-    /// A hit was taken.
-    pub fn taken(&mut self, group: usize) {
-        for (at, share) in self.shares.iter_mut().enumerate() {
-            *share += SHARE * (f64::from(at == group) - *share);
+    /// A hit was received.
+    pub fn record_hit(&mut self, group: usize) {
+        for (at, share) in self.traffic_shares.iter_mut().enumerate() {
+            *share += TRAFFIC_SHARE_WEIGHT * (f64::from(at == group) - *share);
         }
     }
 
-    /// A hit was answered in so many seconds: a plain mean at first, as light traffic would not learn it in hours.
-    pub fn answered(&mut self, group: usize, seconds: f64) {
-        self.met[group] += 1.0;
-        let weight = (1.0 / (self.met[group] + GUESS)).max(RECENT);
-        self.recent[group] += weight * (seconds - self.recent[group]);
-        let usual = if weight > RECENT { self.recent[group] } else { self.usual[group] * (1.0 + LEARN) };
-        self.usual[group] = usual.min(self.recent[group]);
+    /// A hit was answered after `seconds`. The average is a plain mean at first, as light traffic would take hours to
+    /// correct the initial estimate.
+    pub fn record_answer(&mut self, group: usize, seconds: f64) {
+        self.answer_counts[group] += 1.0;
+        let weight = (1.0 / (self.answer_counts[group] + INITIAL_ESTIMATE_ANSWERS)).max(RECENT_WEIGHT);
+        self.recent_seconds[group] += weight * (seconds - self.recent_seconds[group]);
+        let usual = if weight > RECENT_WEIGHT {
+            self.recent_seconds[group]
+        } else {
+            self.usual_seconds[group] * (1.0 + USUAL_GROWTH)
+        };
+        self.usual_seconds[group] = usual.min(self.recent_seconds[group]);
     }
 
     /// A forward left its node's queue: served, failed, or overtaken by a later answer, so that its own is lost.
-    pub fn done(&mut self) {
-        self.answers += 1.0;
+    pub fn record_dequeued(&mut self) {
+        self.dequeued += 1.0;
     }
 
-    /// So many forwards stood in queues for a span of so many seconds.
-    pub fn look(&mut self, open: f64, seconds: f64) {
-        self.out = self.out * (1.0 - LATELY) + (open - ALONE).max(0.0) * seconds;
-        self.answers *= 1.0 - LATELY;
+    /// Ends an evaluation interval of `seconds`, at the end of which `queued` forwards stand in queues.
+    pub fn end_interval(&mut self, queued: f64, seconds: f64) {
+        self.queued_seconds =
+            self.queued_seconds * (1.0 - INTERVAL_WEIGHT) + (queued - IGNORED_FORWARDS).max(0.0) * seconds;
+        self.dequeued *= 1.0 - INTERVAL_WEIGHT;
     }
 
-    /// What an answer takes lately, in seconds: the time that forwards are out for each that leaves. What has
-    /// not been answered counts from the start, where the times of answers would tell of a queue only once it is
-    /// behind them; and a marshal with a few hits a second knows it as soon as one with many.
-    /// May harm: forwards to nodes that are dead and not known for silent yet count as a queue.
-    fn lately(&self) -> f64 {
-        (self.out + BEGIN * self.mean()) / (self.answers + BEGIN)
+    /// Recent answer time in seconds: the time that forwards stand in queues for each one that leaves (Little's law).
+    /// It counts forwards that are not answered yet from the start, where the times of answers would show a queue only
+    /// after they have passed it; and a marshal with a few hits per second sees it as soon as one with many.
+    /// Limitation: forwards to nodes that are dead and not yet known to be silent count as a queue.
+    fn recent_answer_seconds(&self) -> f64 {
+        (self.queued_seconds + INITIAL_ANSWERS * self.mean_usual_seconds())
+            / (self.dequeued + INITIAL_ANSWERS)
     }
 
-    /// Usual answer time of a path group as far as its target latency bears it: what a marshal learnt that began in a
-    /// queue counts for no more.
-    fn borne(&self, group: usize) -> f64 {
-        self.usual[group].min(self.targets[group] * OVER)
+    /// Usual answer time of a path group, at most the share of its target latency that can be served: limits what a
+    /// marshal learnt that started with a queue.
+    fn servable_seconds(&self, group: usize) -> f64 {
+        self.usual_seconds[group].min(self.target_seconds[group] * MAX_USUAL_TARGET_SHARE)
     }
 
     /// Mean of the usual answer times over the traffic.
-    fn mean(&self) -> f64 {
-        self.shares.iter().enumerate().map(|(at, share)| share * self.borne(at)).sum()
+    fn mean_usual_seconds(&self) -> f64 {
+        self.traffic_shares.iter().enumerate().map(|(at, share)| share * self.servable_seconds(at)).sum()
     }
 
     /// What a queue may add to a path group's answers, in seconds.
-    fn slack(&self, group: usize) -> f64 {
-        (self.targets[group] - self.borne(group)) * LONGEST
+    fn queue_slack_seconds(&self, group: usize) -> f64 {
+        (self.target_seconds[group] - self.servable_seconds(group)) * QUEUE_SLACK_SHARE
     }
 
-    /// Part of the hits to be shed of those of a path group and worth (0 to 1) that have waited for so many seconds
-    /// already, where a usual hit is expected to be answered in `there` by what is known of the node.
-    pub fn shed(&self, (group, value): (usize, f64), waited: f64, there: f64) -> f64 {
-        let longest = (self.longest(group, value) - waited).max(0.0);
-        let expected = self.lately().max(there);
-        if expected <= longest { 0.0 } else { (1.0 - (longest / expected).powi(STEEP)).min(MOST) }
+    /// Share to be shed of the hits of a path group and value (0 to 1) that have waited for `waited_seconds` already,
+    /// where the state of the node alone lets a mean hit expect an answer after `node_seconds`.
+    pub fn shed_probability(
+        &self, (group, value): (usize, f64), waited_seconds: f64, node_seconds: f64,
+    ) -> f64 {
+        let longest = (self.max_expected_seconds(group, value) - waited_seconds).max(0.0);
+        let expected = self.recent_answer_seconds().max(node_seconds);
+        if expected <= longest {
+            0.0
+        } else {
+            (1.0 - (longest / expected).powi(SHED_EXPONENT)).min(MAX_SHED_SHARE)
+        }
     }
 
-    /// Longest expected time of a usual hit's answer, in seconds, up to which one of `group` with this worth
-    /// (0 to 1) is forwarded.
-    /// May harm: hits with much patience, bounced in a burst that their own targets would have let them sit out.
-    fn longest(&self, group: usize, value: f64) -> f64 {
-        let binds = |at: &usize| self.shares[*at] >= COUNTS && self.usual[*at] < self.targets[*at] * OVER;
-        let slack = (0..self.targets.len()).filter(binds).map(|at| self.slack(at));
-        let slack = slack.fold(self.slack(group), f64::min);
-        self.mean() + slack * (LEAST_WORTH + (1.0 - LEAST_WORTH) * value)
+    /// Longest expected time of a mean hit's answer, in seconds, up to which hits of `group` with this value (0 to 1)
+    /// are all forwarded.
+    /// Limitation: hits with much patience are bounced in a burst that their own target would have let them sit out.
+    fn max_expected_seconds(&self, group: usize, value: f64) -> f64 {
+        let binds = |at: &usize| {
+            self.traffic_shares[*at] >= MIN_BINDING_SHARE
+                && self.usual_seconds[*at] < self.target_seconds[*at] * MAX_USUAL_TARGET_SHARE
+        };
+        let slack = (0..self.target_seconds.len()).filter(binds).map(|at| self.queue_slack_seconds(at));
+        let slack = slack.fold(self.queue_slack_seconds(group), f64::min);
+        self.mean_usual_seconds() + slack * (ZERO_VALUE_SLACK_SHARE + (1.0 - ZERO_VALUE_SLACK_SHARE) * value)
     }
 }
 
@@ -151,7 +172,7 @@
     use proptest::prelude::*;
     use rstest::rstest;
 
-    const LOOK: f64 = 0.25;
+    const INTERVAL_SECONDS: f64 = 0.25;
 
     fn group(target_ms: u64) -> PathGroup {
         PathGroup {
@@ -164,54 +185,55 @@
         }
     }
 
-    /// Path groups with these targets; their hits come by turns, one of the second in `rare`, and take 60 ms.
-    fn calm(targets: [u64; 2], rare: usize) -> Waits {
+    /// A load shedder without a queue, for two path groups with these targets. One hit in `second_every` is of the
+    /// second one; answers take 60 ms.
+    fn idle(targets: [u64; 2], second_every: usize) -> LoadShedder {
         let groups: Vec<_> = targets.into_iter().map(group).collect();
-        let mut waits = Waits::of(&groups);
+        let mut shedder = LoadShedder::new(&groups);
         for at in 0..1_000 {
-            let of = usize::from(at % rare == 0);
-            waits.taken(of);
-            waits.answered(of, 0.06);
-            waits.done();
+            let of = usize::from(at % second_every == 0);
+            shedder.record_hit(of);
+            shedder.record_answer(of, 0.06);
+            shedder.record_dequeued();
         }
-        (0..20).for_each(|_| waits.look(0.0, LOOK));
-        waits
+        (0..20).for_each(|_| shedder.end_interval(0.0, INTERVAL_SECONDS));
+        shedder
     }
 
-    /// Part shed at a node where a usual hit is expected to take so many milliseconds; in calm 60 do.
-    fn shed(of: &Waits, group: usize, value: f64, ms: f64) -> f64 {
-        of.shed((group, value), 0.0, ms / 1e3)
+    /// Share shed at a node where a mean hit is expected to take `ms` milliseconds; 60 are usual.
+    fn shed(shedder: &LoadShedder, group: usize, value: f64, ms: f64) -> f64 {
+        shedder.shed_probability((group, value), 0.0, ms / 1e3)
     }
 
     #[rstest]
-    #[case::the_least_patient_binds_all([3_000, 300], 2, true)]
-    #[case::not_if_it_is_rare([3_000, 300], 100, false)]
-    #[case::nor_if_it_can_hardly_be_served([3_000, 100], 2, false)]
-    fn the_patient_keep_to_what_the_others_can_stand(
-        #[case] targets: [u64; 2], #[case] rare: usize, #[case] binds: bool,
+    #[case::shorter_target_limits_both([3_000, 300], 2, true)]
+    #[case::not_if_rare([3_000, 300], 100, false)]
+    #[case::not_if_hardly_servable([3_000, 100], 2, false)]
+    fn the_shortest_target_limits_the_wait_of_all_path_groups(
+        #[case] targets: [u64; 2], #[case] second_every: usize, #[case] limits: bool,
     ) {
-        let calm = calm(targets, rare);
-        assert!(shed(&calm, 0, 1.0, 60.0) == 0.0);
-        assert_eq!(shed(&calm, 0, 1.0, 600.0) > 0.9, binds);
+        let shedder = idle(targets, second_every);
+        assert!(shed(&shedder, 0, 1.0, 60.0) == 0.0);
+        assert_eq!(shed(&shedder, 0, 1.0, 600.0) > 0.9, limits);
     }
 
     #[rstest]
-    fn who_has_no_target_latency_at_all_leaves_the_others_theirs() {
-        let waits = Waits::of(&[group(1_200), group(0)]);
-        assert!(shed(&waits, 0, 1.0, 400.0) == 0.0);
+    fn a_path_group_with_a_zero_target_does_not_limit_the_others() {
+        let shedder = LoadShedder::new(&[group(1_200), group(0)]);
+        assert!(shed(&shedder, 0, 1.0, 400.0) == 0.0);
     }
 
     #[rstest]
-    fn a_day_that_begins_in_a_queue_does_not_pass_for_usual() {
-        let mut waits = Waits::of(&[group(1_200)]);
-        (0..200).for_each(|n| waits.answered(0, 0.06 + 0.0042 * f64::from(n)));
-        assert!(shed(&waits, 0, 1.0, 900.0) > 0.5, "the first answers took some 100 ms");
+    fn answer_times_of_a_start_under_overload_do_not_become_usual() {
+        let mut shedder = LoadShedder::new(&[group(1_200)]);
+        (0..200).for_each(|n| shedder.record_answer(0, 0.06 + 0.0042 * f64::from(n)));
+        assert!(shed(&shedder, 0, 1.0, 900.0) > 0.5, "the first answers took some 100 ms");
     }
 
     #[rstest]
-    fn the_least_worth_goes_first_but_not_for_what_is_usual() {
-        let calm = calm([300, 300], 2);
-        let at = |value| [60.0, 120.0, 200.0, 400.0].map(|ms| shed(&calm, 0, value, ms));
+    fn the_least_value_is_shed_first_but_nothing_at_the_usual_time() {
+        let shedder = idle([300, 300], 2);
+        let at = |value| [60.0, 120.0, 200.0, 400.0].map(|ms| shed(&shedder, 0, value, ms));
         let (none, little, full) = (at(0.0), at(0.1), at(1.0));
         assert!(none[0] == 0.0 && none[1] > 0.0 && full[1] == 0.0 && full[2] > 0.0, "{none:?} {full:?}");
         assert!((1..4).all(|k| none[k] >= little[k] && little[k] >= full[k]));
@@ -219,39 +241,39 @@
 
     #[rstest]
     #[case::a_few_hits_a_second(4.0)]
-    #[case::many(400.0)]
-    fn a_queue_is_known_before_its_answers_come_and_forgotten_soon_after(#[case] rate: f64) {
-        let mut calm = calm([1_200, 1_200], 2);
-        let looks = |waits: &mut Waits, n: usize, open: f64, answers: f64| {
+    #[case::many_hits_a_second(400.0)]
+    fn a_queue_is_detected_before_its_answers_arrive_and_forgotten_soon_after(#[case] rate: f64) {
+        let mut shedder = idle([1_200, 1_200], 2);
+        let intervals = |shedder: &mut LoadShedder, n: usize, queued: f64, answer_rate: f64| {
             for _ in 0..n {
-                for _ in 0..(answers * LOOK) as usize {
-                    waits.answered(0, 0.06);
-                    waits.done();
+                for _ in 0..(answer_rate * INTERVAL_SECONDS) as usize {
+                    shedder.record_answer(0, 0.06);
+                    shedder.record_dequeued();
                 }
-                waits.look(open, LOOK);
+                shedder.end_interval(queued, INTERVAL_SECONDS);
             }
         };
-        looks(&mut calm, 20, rate * 0.06, rate);
-        assert!(shed(&calm, 0, 1.0, 60.0) == 0.0);
-        // Nothing comes back, and what is out adds up.
-        (1..=8).for_each(|n| looks(&mut calm, 1, rate * LOOK * f64::from(n), 0.0));
-        assert!(shed(&calm, 0, 1.0, 60.0) > 0.5);
-        looks(&mut calm, 16, 0.0, rate);
-        assert!(shed(&calm, 0, 1.0, 60.0) == 0.0);
+        intervals(&mut shedder, 20, rate * 0.06, rate);
+        assert!(shed(&shedder, 0, 1.0, 60.0) == 0.0);
+        // No answers arrive, and the open forwards add up.
+        (1..=8).for_each(|n| intervals(&mut shedder, 1, rate * INTERVAL_SECONDS * f64::from(n), 0.0));
+        assert!(shed(&shedder, 0, 1.0, 60.0) > 0.5);
+        intervals(&mut shedder, 16, 0.0, rate);
+        assert!(shed(&shedder, 0, 1.0, 60.0) == 0.0);
     }
 
     proptest! {
         #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
         #[test]
-        fn a_part_is_a_part_and_less_for_more_worth(
+        fn the_shed_share_is_bounded_and_falls_with_value(
             targets in prop::array::uniform2(0u64..100_000), ms in 0.0..1e6f64, value in 0.0..1.0f64,
             waited in 0.0..1e3f64,
         ) {
-            let waits = calm(targets, 2);
-            let part = |value| waits.shed((0, value), waited, ms / 1e3);
-            prop_assert!((0.0..=MOST).contains(&part(value)));
-            prop_assert!(part(1.0) <= part(value));
+            let shedder = idle(targets, 2);
+            let share = |value| shedder.shed_probability((0, value), waited, ms / 1e3);
+            prop_assert!((0.0..=MAX_SHED_SHARE).contains(&share(value)));
+            prop_assert!(share(1.0) <= share(value));
         }
     }
 }
--- a/src/outcomes.rs
+++ b/src/outcomes.rs
@@ -1,79 +1,83 @@
-//! Counts of outcomes by build, path group and source, in grains of time.
+//! Counts of outcomes by build, path group and source, in short intervals of time.
 
 use crate::time::{Span, Time};
 use std::collections::{BTreeMap, VecDeque};
 
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Count {
-    pub n: f64,
+pub struct OutcomeCounts {
+    pub total: f64,
     /// Failed or late.
     pub bad: f64,
     /// Of those, failed.
     pub failed: f64,
-    /// Answers of warm nodes, and the sum of their times against what was expected.
+    /// Answers of warm nodes, and the sum of their slowdowns: latency ratio over the usual one.
     pub timed: f64,
-    pub time: f64,
+    pub slowdown_sum: f64,
 }
 
-impl Count {
-    pub fn add(&mut self, other: Count) {
-        self.n += other.n;
+impl OutcomeCounts {
+    pub fn add(&mut self, other: OutcomeCounts) {
+        self.total += other.total;
         self.bad += other.bad;
         self.failed += other.failed;
         self.timed += other.timed;
-        self.time += other.time;
+        self.slowdown_sum += other.slowdown_sum;
     }
 
-    /// The same with lateness left aside.
-    pub fn failures(self) -> Count {
-        Count { bad: self.failed, ..self }
+    /// The same counts with only failures as bad ones, not lateness.
+    pub fn failures_only(self) -> OutcomeCounts {
+        OutcomeCounts { bad: self.failed, ..self }
     }
 
-    pub fn of(counts: &[Count]) -> Count {
-        let mut sum = Count::default();
+    pub fn sum(counts: &[OutcomeCounts]) -> OutcomeCounts {
+        let mut sum = OutcomeCounts::default();
         counts.iter().for_each(|c| sum.add(*c));
         sum
     }
 
-    /// Bad ones among all; zero where there are none.
-    pub fn share(&self) -> f64 {
-        self.bad / self.n.max(1.0)
+    /// Bad outcomes over all; zero where there are none.
+    pub fn bad_share(&self) -> f64 {
+        self.bad / self.total.max(1.0)
     }
 
-    /// Mean time of an answer against what was expected.
-    pub fn pace(&self) -> f64 {
-        self.time / self.timed.max(1.0)
+    /// Mean slowdown of an answer; 1 is the usual time.
+    pub fn mean_slowdown(&self) -> f64 {
+        self.slowdown_sum / self.timed.max(1.0)
     }
 }
 
-/// Counts of one source after the other, each by path group.
-pub type Sources = Vec<(usize, Vec<Count>)>;
+/// Counts by source (a node's index), in its order, each by path group.
+pub type CountsBySource = Vec<(usize, Vec<OutcomeCounts>)>;
 
-pub fn total(sources: &[(usize, Vec<Count>)]) -> Count {
-    Count::of(&sources.iter().map(|(_, counts)| Count::of(counts)).collect::<Vec<_>>())
+pub fn sum_all(sources: &[(usize, Vec<OutcomeCounts>)]) -> OutcomeCounts {
+    OutcomeCounts::sum(&sources.iter().map(|(_, counts)| OutcomeCounts::sum(counts)).collect::<Vec<_>>())
 }
 
-pub fn by_group(sources: &[(usize, Vec<Count>)], groups: usize) -> Vec<Count> {
-    let mut sums = vec![Count::default(); groups];
+pub fn sum_by_group(sources: &[(usize, Vec<OutcomeCounts>)], groups: usize) -> Vec<OutcomeCounts> {
+    let mut sums = vec![OutcomeCounts::default(); groups];
     sources.iter().for_each(|(_, counts)| sums.iter_mut().zip(counts).for_each(|(sum, c)| sum.add(*c)));
     sums
 }
 
+/// Counts over time: by build, path group and source, the start of each interval and its counts.
 #[derive(Default)]
-pub struct Ledger {
-    rows: BTreeMap<(u16, usize, usize), VecDeque<(Time, Count)>>,
+pub struct OutcomeLog {
+    rows: BTreeMap<(u16, usize, usize), VecDeque<(Time, OutcomeCounts)>>,
 }
 
-impl Ledger {
-    pub fn note(&mut self, build: u16, group: usize, source: usize, at: Time, grain: Span, count: Count) {
+impl OutcomeLog {
+    /// Adds counts; those within `interval` of the row's last start are summed up.
+    pub fn record(
+        &mut self, build: u16, group: usize, source: usize, at: Time, interval: Span, counts: OutcomeCounts,
+    ) {
         let row = self.rows.entry((build, group, source)).or_default();
         match row.back_mut() {
-            Some((start, sum)) if at - *start < grain => sum.add(count),
-            _ => row.push_back((at, count)),
+            Some((start, sum)) if at - *start < interval => sum.add(counts),
+            _ => row.push_back((at, counts)),
         }
     }
 
-    pub fn forget(&mut self, before: Time) {
+    pub fn drop_before(&mut self, before: Time) {
         for row in self.rows.values_mut() {
             while row.front().is_some_and(|(start, _)| *start < before) {
                 row.pop_front();
@@ -82,13 +86,15 @@
         self.rows.retain(|_, row| !row.is_empty());
     }
 
-    /// What came in since `from` of the builds that `of` picks.
-    pub fn by_source(&self, from: Time, groups: usize, of: impl Fn(u16) -> bool) -> Sources {
-        let mut sources: BTreeMap<usize, Vec<Count>> = BTreeMap::new();
-        for (&(_, group, source), row) in self.rows.iter().filter(|(key, _)| of(key.0)) {
-            for (_, count) in row.iter().rev().take_while(|(start, _)| *start >= from) {
-                let counts = sources.entry(source).or_insert_with(|| vec![Count::default(); groups]);
-                counts[group].add(*count);
+    /// Counts since `from` of the builds that `includes_build` selects.
+    pub fn by_source(
+        &self, from: Time, groups: usize, includes_build: impl Fn(u16) -> bool,
+    ) -> CountsBySource {
+        let mut sources: BTreeMap<usize, Vec<OutcomeCounts>> = BTreeMap::new();
+        for (&(_, group, source), row) in self.rows.iter().filter(|(key, _)| includes_build(key.0)) {
+            for (_, counts) in row.iter().rev().take_while(|(start, _)| *start >= from) {
+                let sums = sources.entry(source).or_insert_with(|| vec![OutcomeCounts::default(); groups]);
+                sums[group].add(*counts);
             }
         }
         sources.into_iter().collect()
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,47 +1,51 @@
-//! The module's state by how long it lives: for a forward, a hit, a node, the instance. Plain data; what it
-//! means is decided in `policy`.
+//! The module's state by lifetime: of a forward, a hit, a node, the instance. Plain data; the decisions based
+//! on it are in `policy`.
 
 use crate::host::{BuildStatus, ForwardOutcome, NodeAttributes, Readiness, Verdict};
-use crate::index::{Index, lot};
-use crate::load_shedding::Waits;
-use crate::outcomes::Ledger;
+use crate::index::{IdIndex, hash_pair};
+use crate::load_shedding::LoadShedder;
+use crate::outcomes::OutcomeLog;
 use crate::settings::{
     ExposureLimits, NodeListSettings, PathGroup, SiteLimits, Tenancy, VotingRules, WarmUp,
 };
 use crate::time::{Span, Time};
 use std::collections::{BTreeMap, HashSet, VecDeque};
-use std::ops::{Index as At, IndexMut as AtMut};
+use std::ops::{Index, IndexMut};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum State {
-    /// No forward out; held for room.
+pub enum HitState {
+    /// No forward in flight; held for room.
     Waiting,
-    /// At least one forward out.
-    Out,
+    /// At least one forward in flight.
+    Forwarded,
     Delivered,
     Bounced,
     Errored,
     /// The client left, or was answered by other means.
-    Left,
+    Closed,
 }
 
-impl State {
-    pub fn ended(self) -> bool {
-        !matches!(self, State::Waiting | State::Out)
+impl HitState {
+    pub fn is_final(self) -> bool {
+        !matches!(self, HitState::Waiting | HitState::Forwarded)
     }
 }
 
-/// Listed start of nodes that started a long time back.
+/// Time zero. As the listed start of a node it says that the node started long ago.
 pub const EPOCH: Time = Time::at(0);
 
-/// A point in time that is not to come.
+/// A point in time that is never reached.
 pub const NEVER: Time = Time::at(u64::MAX);
 
-/// What a timer is for, as the token that comes back with it.
+/// What a timer is for, encoded as the token that the host hands back when it fires.
 pub enum Timer {
+    /// The next evaluation interval.
     Evaluate,
+    /// Retry of a request for the node list.
     RequestList,
+    /// Deadline of a hit, by its id.
     Deadline(u32),
+    /// Hedged request for a hit, by its id and the hop that it is sent beside.
     Hedge(u32, u8),
 }
 
@@ -67,32 +71,33 @@
     }
 }
 
-/// Why a hit is forwarded: for the first time, again after a failure, or in a second copy because the
-/// first takes long.
+/// Why a hit is forwarded: for the first time, as a retry after a failure, or as a hedged request because the
+/// first forward takes long.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub enum Reason {
+pub enum ForwardReason {
     First,
-    Again,
-    Copy,
+    Retry,
+    Hedge,
 }
 
 #[derive(Clone, Copy)]
 pub struct Forward {
+    /// Index of the node in `Nodes::rows`.
     pub node: usize,
-    pub place: NodeAttributes,
+    pub attributes: NodeAttributes,
     pub build: u16,
-    pub sent: Time,
-    /// Own forwards that the node held then.
-    pub held: f64,
-    /// It tries a node in spite of its blame.
-    pub curious: bool,
-    pub fate: Option<ForwardOutcome>,
+    pub sent_at: Time,
+    /// This marshal's open forwards at the node when this one was sent.
+    pub node_load: f64,
+    /// Sent to test a node in spite of its error score.
+    pub probe: bool,
+    pub outcome: Option<ForwardOutcome>,
 }
 
 impl Forward {
     pub fn never_ran(&self) -> bool {
         matches!(
-            self.fate,
+            self.outcome,
             Some(ForwardOutcome::Rejected | ForwardOutcome::Unreached | ForwardOutcome::Unsent)
         )
     }
@@ -100,137 +105,148 @@
 
 pub struct Hit {
     pub id: u32,
+    /// Index of its path group.
     pub group: usize,
+    /// Key of the object that it concerns; zero for none.
     pub key: u64,
-    pub taken: Time,
+    pub received_at: Time,
     /// When the final answer is due at the latest.
-    pub ends: Time,
+    pub deadline: Time,
     /// Expected work in seconds.
-    pub work: f64,
-    /// Worth as a share of the best hit's.
+    pub work_seconds: f64,
+    /// Value for load shedding, 0 to 1.
     pub value: f64,
-    /// Its lot with each node that not all hits are open to.
-    pub luck: f64,
-    pub state: State,
+    /// Random point from 0 to 1 on the ring of the nodes' traffic shares: decides which nodes accept the hit,
+    /// where not all do.
+    pub ring_point: f64,
+    pub state: HitState,
     pub forwards: Vec<Forward>,
 }
 
 impl Hit {
-    pub fn taken(
-        id: u32, group: usize, key: u64, taken: Time, ends: Time, work: f64, value: f64, luck: f64,
+    pub fn new(
+        id: u32, group: usize, key: u64, received_at: Time, deadline: Time, work_seconds: f64, value: f64,
+        ring_point: f64,
     ) -> Self {
-        let (state, forwards) = (State::Waiting, Vec::new());
-        Hit { id, group, key, taken, ends, work, value, luck, state, forwards }
+        let (state, forwards) = (HitState::Waiting, Vec::new());
+        Hit { id, group, key, received_at, deadline, work_seconds, value, ring_point, state, forwards }
     }
 
-    pub fn out(&self) -> bool {
-        self.forwards.iter().any(|f| f.fate.is_none())
+    /// At least one forward has not ended yet.
+    pub fn in_flight(&self) -> bool {
+        self.forwards.iter().any(|f| f.outcome.is_none())
     }
 }
 
 pub struct Node {
     pub id: u64,
-    pub place: NodeAttributes,
+    pub attributes: NodeAttributes,
     pub readiness: Readiness,
     pub build: u16,
-    /// Listed start; zero for a long time back.
-    pub started: Time,
-    /// Own forwards out.
-    pub open: u32,
-    /// Answer time over expected work, the hits held that it was met with, and when last.
-    pub pace: f64,
-    pub usual: f64,
-    pub timed: Time,
-    /// Recent failures, 0 to 1, as of `blamed`.
-    pub blame: f64,
-    pub blamed: Time,
+    /// Listed start; `EPOCH` for long ago.
+    pub started_at: Time,
+    /// This marshal's forwards to it that have not ended yet.
+    pub open_forwards: u32,
+    /// Exponentially weighted moving averages of answer time over expected work, and of the open forwards that
+    /// the node had when it got the forward; and when both were last updated.
+    pub latency_ratio: f64,
+    pub usual_load: f64,
+    pub latency_updated_at: Time,
+    /// Recent failures, 0 to 1, as of `error_score_updated_at`; decays with time.
+    pub error_score: f64,
+    pub error_score_updated_at: Time,
     /// Sending time of the first forward since the node was last heard, and how many were sent since.
-    pub unheard: Option<Time>,
-    pub since: u32,
+    pub unanswered_since: Option<Time>,
+    pub sent_since_heard: u32,
     /// Sending time of the newest forward that it answered.
-    pub answered: Time,
-    /// From when on that counts as silence; not yet while too few were sent.
-    pub due: Time,
-    /// When it was last tried in spite of its blame.
-    pub tried: Time,
-    /// Its fair part of the own hits, and where that starts on the circle of all parts.
-    pub part: f64,
-    pub start: f64,
+    pub answered_sent_at: Time,
+    /// From when on no answer counts as silence; `NEVER` while too few forwards were sent.
+    pub silence_deadline: Time,
+    /// When it was last probed in spite of its error score.
+    pub probed_at: Time,
+    /// Its fair share of this marshal's hits, and where that starts on the ring of all shares.
+    pub traffic_share: f64,
+    pub ring_start: f64,
 }
 
 impl Node {
-    /// Forwards are out, and nothing was heard by the time it was due.
-    pub fn silent(&self, now: Time) -> bool {
-        self.unheard.is_some() && now > self.due
+    /// Forwards are open, and nothing was heard by the deadline.
+    pub fn is_silent(&self, now: Time) -> bool {
+        self.unanswered_since.is_some() && now > self.silence_deadline
     }
 
-    /// The forward out is held up by others: neither is the node silent, nor did it answer a later one.
-    pub fn queues(&self, forward: &Forward, now: Time) -> bool {
-        !self.silent(now) && self.answered <= forward.sent
+    /// The open forward waits in the node's queue: the node is not silent, and has not answered a later forward.
+    pub fn is_queued(&self, forward: &Forward, now: Time) -> bool {
+        !self.is_silent(now) && self.answered_sent_at <= forward.sent_at
     }
 
-    /// Books a forward to it; returns how many it held.
-    pub fn sends(&mut self, now: Time) -> f64 {
-        let held = f64::from(self.open);
-        (self.open, self.since) = (self.open + 1, self.since + 1);
-        self.unheard = self.unheard.or(Some(now));
-        held
+    /// Records a forward to the node; returns how many were open before.
+    pub fn record_sent(&mut self, now: Time) -> f64 {
+        let load = f64::from(self.open_forwards);
+        (self.open_forwards, self.sent_since_heard) = (self.open_forwards + 1, self.sent_since_heard + 1);
+        self.unanswered_since = self.unanswered_since.or(Some(now));
+        load
     }
 
-    /// Books the end of a forward, and whether it was a word of the node; false where the process that the
-    /// forward went to is gone.
-    pub fn hears(&mut self, now: Time, forward: &Forward, word: bool) -> bool {
-        self.open = self.open.saturating_sub(1);
-        if forward.sent < self.started || forward.build != self.build {
+    /// Records the end of a forward, and whether it was an answer of the node. Returns false if the process
+    /// that the forward went to is gone.
+    pub fn record_end(&mut self, now: Time, forward: &Forward, answered: bool) -> bool {
+        self.open_forwards = self.open_forwards.saturating_sub(1);
+        if forward.sent_at < self.started_at || forward.build != self.build {
             return false;
         }
-        if word {
-            (self.unheard, self.since, self.due) = ((self.open > 0).then_some(now), 0, NEVER);
-            self.answered = self.answered.max(forward.sent);
+        if answered {
+            (self.unanswered_since, self.sent_since_heard, self.silence_deadline) =
+                ((self.open_forwards > 0).then_some(now), 0, NEVER);
+            self.answered_sent_at = self.answered_sent_at.max(forward.sent_at);
         }
         true
     }
 
-    /// Time since its listed start; without end if that was a long time back.
+    /// Time since its listed start; the longest span if that is `EPOCH`.
     pub fn age(&self, at: Time) -> Span {
-        if self.started == EPOCH { Span::nanos(u64::MAX) } else { at - self.started }
+        if self.started_at == EPOCH { Span::nanos(u64::MAX) } else { at - self.started_at }
     }
 
-    /// A node of which nothing is known yet but its listing, and the pace and load of others.
-    pub fn new(id: u64, place: NodeAttributes, readiness: Readiness, build: u16, started: Time) -> Self {
-        let (blamed, tried, answered) = (Time::default(), Time::default(), Time::default());
-        let (pace, usual, part, start) = (1.0, 0.0, 0.0, 0.0);
-        let (open, blame, unheard, since, due) = (0, 0.0, None, 0, NEVER);
+    /// A newly listed node without any forward yet.
+    pub fn new(
+        id: u64, attributes: NodeAttributes, readiness: Readiness, build: u16, started_at: Time,
+    ) -> Self {
+        let (error_score_updated_at, probed_at, answered_sent_at) =
+            (Time::default(), Time::default(), Time::default());
+        let (latency_ratio, usual_load, traffic_share, ring_start) = (1.0, 0.0, 0.0, 0.0);
+        let (open_forwards, error_score, unanswered_since, sent_since_heard, silence_deadline) =
+            (0, 0.0, None, 0, NEVER);
         Node {
             id,
-            place,
+            attributes,
             readiness,
             build,
-            started,
-            open,
-            pace,
-            usual,
-            timed: tried,
-            blame,
-            blamed,
-            unheard,
-            since,
-            answered,
-            due,
-            tried,
-            part,
-            start,
+            started_at,
+            open_forwards,
+            latency_ratio,
+            usual_load,
+            latency_updated_at: probed_at,
+            error_score,
+            error_score_updated_at,
+            unanswered_since,
+            sent_since_heard,
+            answered_sent_at,
+            silence_deadline,
+            probed_at,
+            traffic_share,
+            ring_start,
         }
     }
 }
 
-/// The nodes that lists have named, by their small index.
+/// The nodes that lists have named, by their index.
 #[derive(Default)]
 pub struct Nodes {
     pub rows: Vec<Node>,
-    pub named: Index<u64>,
-    /// Which ones the full list now coming in has named.
-    mentioned: Option<Vec<bool>>,
+    pub index: IdIndex<u64>,
+    /// Which rows the full list that is being received has named.
+    named: Option<Vec<bool>>,
 }
 
 impl Nodes {
@@ -238,65 +254,71 @@
         self.rows.iter().filter(|n| n.readiness == Readiness::Ready)
     }
 
-    /// The ready ones by build and zone, ranked by a hash of their number and that of the marshal.
-    pub fn ranked(&self, me: usize) -> BTreeMap<(u16, u8), Vec<usize>> {
+    /// The indices of ready nodes by build and zone, ranked by a hash of the node's id and the marshal's index.
+    pub fn ranked(&self, marshal_index: usize) -> BTreeMap<(u16, u8), Vec<usize>> {
         let mut ranked: BTreeMap<(u16, u8), Vec<usize>> = BTreeMap::new();
         for (at, node) in self.rows.iter().enumerate().filter(|(_, n)| n.readiness == Readiness::Ready) {
-            ranked.entry((node.build, node.place.zone)).or_default().push(at);
+            ranked.entry((node.build, node.attributes.zone)).or_default().push(at);
         }
-        ranked.values_mut().for_each(|v| v.sort_by_key(|at| lot(self.rows[*at].id, me as u64)));
+        ranked
+            .values_mut()
+            .for_each(|v| v.sort_by_key(|at| hash_pair(self.rows[*at].id, marshal_index as u64)));
         ranked
     }
 
+    /// Begins a list; a full one replaces all earlier entries.
     pub fn begin_list(&mut self, full: bool) {
-        self.mentioned = full.then(|| vec![false; self.rows.len()]);
+        self.named = full.then(|| vec![false; self.rows.len()]);
     }
 
-    /// Puts down one entry. A new process under an old id, or one that comes back, starts afresh, but for
-    /// forwards still out.
+    /// Records one entry of a list. A new process under a known id, or a node that returns, starts with fresh
+    /// state, except for its open forwards.
     pub fn update_entry(&mut self, fresh: Node) {
-        let at = self.named.enter(fresh.id);
-        if let Some(mentioned) = &mut self.mentioned {
-            mentioned.resize(mentioned.len().max(at + 1), false);
-            mentioned[at] = true;
+        let at = self.index.insert(fresh.id);
+        if let Some(named) = &mut self.named {
+            named.resize(named.len().max(at + 1), false);
+            named[at] = true;
         }
         match self.rows.get_mut(at) {
             None => self.rows.push(fresh),
             Some(node)
                 if node.readiness == Readiness::Gone
-                    || (node.started, node.build) != (fresh.started, fresh.build) =>
+                    || (node.started_at, node.build) != (fresh.started_at, fresh.build) =>
             {
-                *node = Node { open: node.open, ..fresh };
+                *node = Node { open_forwards: node.open_forwards, ..fresh };
             }
-            Some(node) => (node.readiness, node.place) = (fresh.readiness, fresh.place),
+            Some(node) => (node.readiness, node.attributes) = (fresh.readiness, fresh.attributes),
         }
     }
 
-    /// Ends a list; what a full one left out is gone. Gone nodes are forgotten once all is home.
+    /// Ends a list; nodes that a full one left out are gone. Gone nodes are forgotten once their forwards ended.
     pub fn end_list(&mut self) {
-        for (at, named) in self.mentioned.take().into_iter().flatten().enumerate() {
+        for (at, named) in self.named.take().into_iter().flatten().enumerate() {
             if !named {
                 self.rows[at].readiness = Readiness::Gone;
             }
         }
         for (at, node) in self.rows.iter().enumerate() {
-            if node.readiness == Readiness::Gone && node.open == 0 && self.named.find(node.id) == Some(at) {
-                self.named.leave(node.id);
+            if node.readiness == Readiness::Gone
+                && node.open_forwards == 0
+                && self.index.get(node.id) == Some(at)
+            {
+                self.index.remove(node.id);
             }
         }
     }
 }
 
-/// The hits not yet done with, by their small index.
+/// The hits that are not released yet, by their slot.
 #[derive(Default)]
 pub struct Hits {
     rows: Vec<Hit>,
-    taken: Index<u32>,
+    slots: IdIndex<u32>,
 }
 
 impl Hits {
-    pub fn enter(&mut self, hit: Hit) -> usize {
-        let slot = self.taken.enter(hit.id);
+    pub fn insert(&mut self, hit: Hit) -> usize {
+        let slot = self.slots.insert(hit.id);
         if slot < self.rows.len() {
             self.rows[slot] = hit;
         } else {
@@ -305,158 +327,169 @@
         slot
     }
 
-    pub fn find(&self, id: u32) -> Option<usize> {
-        self.taken.find(id)
+    pub fn slot_of(&self, id: u32) -> Option<usize> {
+        self.slots.get(id)
     }
 
-    /// The forwards out for hits that are not answered yet.
-    pub fn forwards_out(&self) -> impl Iterator<Item = &Forward> {
-        let open = self.rows.iter().filter(|hit| !hit.state.ended());
-        open.flat_map(|hit| &hit.forwards).filter(|f| f.fate.is_none())
+    /// The forwards in flight for hits that are not answered yet.
+    pub fn open_forwards(&self) -> impl Iterator<Item = &Forward> {
+        let open_hits = self.rows.iter().filter(|hit| !hit.state.is_final());
+        open_hits.flat_map(|hit| &hit.forwards).filter(|f| f.outcome.is_none())
     }
 
-    /// Those of the hits that wait still, the most worthy first, and by lot among equals.
-    pub fn waiting(&self, ids: Vec<u32>) -> Vec<usize> {
-        let waits = |slot: &usize| self.rows[*slot].state == State::Waiting;
-        let mut slots: Vec<_> = ids.into_iter().filter_map(|id| self.find(id)).filter(waits).collect();
-        let rank = |slot: usize| (self.rows[slot].value, self.rows[slot].luck);
+    /// The slots of those hits that still wait, the highest value first, in random order among equals.
+    pub fn waiting_by_value(&self, ids: Vec<u32>) -> Vec<usize> {
+        let waits = |slot: &usize| self.rows[*slot].state == HitState::Waiting;
+        let mut slots: Vec<_> = ids.into_iter().filter_map(|id| self.slot_of(id)).filter(waits).collect();
+        let rank = |slot: usize| (self.rows[slot].value, self.rows[slot].ring_point);
         slots.sort_by(|a, b| rank(*b).partial_cmp(&rank(*a)).unwrap_or(std::cmp::Ordering::Equal));
         slots
     }
 
-    /// Frees an ended hit once all its forwards have come home.
+    /// Frees the slot of a hit in a final state once all its forwards ended.
     pub fn release(&mut self, slot: usize) {
-        if self.rows[slot].state.ended() && !self.rows[slot].out() {
-            self.taken.leave(self.rows[slot].id);
+        if self.rows[slot].state.is_final() && !self.rows[slot].in_flight() {
+            self.slots.remove(self.rows[slot].id);
         }
     }
 }
 
-impl At<usize> for Hits {
+impl Index<usize> for Hits {
     type Output = Hit;
     fn index(&self, slot: usize) -> &Hit {
         &self.rows[slot]
     }
 }
 
-impl AtMut<usize> for Hits {
+impl IndexMut<usize> for Hits {
     fn index_mut(&mut self, slot: usize) -> &mut Hit {
         &mut self.rows[slot]
     }
 }
 
-// ---- For the instance ----
+// ---- State of the instance ----
 
-/// The hits' side: path groups, what hits are worth, what they may still cost.
-pub struct Desk {
+/// What is needed to handle hits: path groups, the value of hits, the budget for retries.
+pub struct HitHandling {
     pub groups: Vec<PathGroup>,
     pub tenancy: Tenancy,
-    pub handling: SiteLimits,
-    /// Usual answer times by path group, and how long hits may wait.
-    pub waits: Waits,
-    /// Each tenant's hits within its share, ready to be taken.
-    pub credits: Vec<f64>,
-    pub extra: f64,
+    pub limits: SiteLimits,
+    /// Usual answer times by path group, and which hits are shed.
+    pub shedder: LoadShedder,
+    /// Token buckets by tenant: hits that the tenant may still send within its share.
+    pub tenant_credits: Vec<f64>,
+    /// Retries that may be sent now; hedged requests cost more than one.
+    pub retry_budget: f64,
     /// Mean expected work of a hit, in seconds.
-    pub work: f64,
+    pub mean_work_seconds: f64,
 }
 
-/// What each build on trial may still get, by build and path group.
+/// How many hits each build on trial may still get.
 #[derive(Default)]
 pub struct Exposure {
-    pub trial: ExposureLimits,
+    pub limits: ExposureLimits,
+    /// Varies the initial level of the buckets between marshals.
     pub salt: u64,
+    /// Tokens by build and path group.
     pub buckets: BTreeMap<(u16, usize), f64>,
     /// Keys that the newest build has answered.
-    pub answered: HashSet<u64>,
+    pub answered_keys: HashSet<u64>,
 }
 
-/// The newest build's own record; it starts afresh with the next one.
+/// What is recorded of the newest build; it is reset for the next one.
 #[derive(Default)]
-pub struct Record {
-    /// It was told on trial: there is an earlier one to go back to.
-    pub offered: bool,
-    /// How many marshals drew a lower lot for this stage.
-    pub rank: usize,
-    /// Outcomes in this stage, and net good ones in all.
+pub struct BuildRecord {
+    /// It was announced as on trial: there is an earlier build to go back to.
+    pub seen_on_trial: bool,
+    /// How many marshals have a lower hash for this stage; the lowest ones vote.
+    pub voter_rank: usize,
+    /// Outcomes in this stage, and good minus bad ones over all stages.
     pub stage_outcomes: f64,
-    pub good: f64,
-    /// Odds (log) that it answers wrongly.
-    pub odds: f64,
-    /// Its share of the answers look by look, with the fleet's pace and work a node.
-    pub course: VecDeque<(f64, f64, f64)>,
-    pub slow_looks: u32,
-    /// It is meant to go back until then.
-    pub back_until: Time,
+    pub net_good_outcomes: f64,
+    /// Log odds that it answers wrongly.
+    pub wrong_answer_log_odds: f64,
+    /// By evaluation interval: the build's share of the answers, the fleet's latency ratio, and the work per
+    /// node.
+    pub slowdown_history: VecDeque<(f64, f64, f64)>,
+    /// Intervals in a row in which the fleet was slow.
+    pub slow_intervals: u32,
+    /// Until when this marshal wants the build to go back.
+    pub vote_back_until: Time,
 }
 
-/// What is known of the newest build, what was seen of each build, and the marshal's vote.
+/// The release gate: what is known of the newest build, the outcomes of each build, and the marshal's vote.
 #[derive(Default)]
-pub struct Gate {
-    pub ballot: VotingRules,
+pub struct ReleaseGate {
+    pub voting: VotingRules,
     /// The cap of stage 0, for builds not announced yet.
-    pub first_cap: f64,
-    /// Build, stage, standing, cap, and since when the stage stands.
-    pub told: Option<(u16, u8, BuildStatus, f64, Time)>,
-    pub seen: Ledger,
-    /// Answers of warm nodes lately: when, their pace, by which build.
-    pub answers: VecDeque<(Time, f64, u16)>,
-    /// What the platform counted over all marshals.
-    pub sums: Ledger,
-    pub e: Vec<f64>,
-    /// Share of hits shed lately.
-    pub shed: f64,
-    pub record: Record,
-    /// The vote that may stand, when it was cast, and whether its answer is still to come.
-    pub vote: (u16, u8, Verdict),
-    pub cast: Time,
-    pub pending: bool,
+    pub first_stage_cap: f64,
+    /// The newest build as announced by the platform: build, stage, status, cap, and when the stage began.
+    pub announced: Option<(u16, u8, BuildStatus, f64, Time)>,
+    /// Outcomes of this marshal's forwards, by node.
+    pub own_counts: OutcomeLog,
+    /// Recent answers of warm nodes: when, latency ratio, and build.
+    pub recent_answers: VecDeque<(Time, f64, u16)>,
+    /// Outcomes that the platform counted over all marshals.
+    pub platform_counts: OutcomeLog,
+    /// Expected share of bad outcomes by path group, from earlier builds.
+    pub expected_bad_shares: Vec<f64>,
+    /// Moving average of the share of hits that were shed.
+    pub shed_share: f64,
+    pub record: BuildRecord,
+    /// The vote that may stand (build, stage, verdict), when it was cast, and whether its reply is still to
+    /// come.
+    pub last_vote: (u16, u8, Verdict),
+    pub vote_cast_at: Time,
+    pub vote_pending: bool,
 }
 
-impl Gate {
-    /// Pace of the answer that stands at one part in so many, quickest first.
-    pub fn quicker(&self, parts: usize) -> f64 {
-        let mut paces: Vec<f64> = self.answers.iter().map(|a| a.1).collect();
-        paces.sort_by(f64::total_cmp);
-        paces[paces.len() / parts]
+impl ReleaseGate {
+    /// Latency ratio at the 1/`parts` quantile of the recent answers, fastest first.
+    pub fn latency_ratio_quantile(&self, parts: usize) -> f64 {
+        let mut ratios: Vec<f64> = self.recent_answers.iter().map(|a| a.1).collect();
+        ratios.sort_by(f64::total_cmp);
+        ratios[ratios.len() / parts]
     }
 }
 
-/// The nodes as last listed, and what cold ones may be sent.
+/// The nodes as last listed, the subset in use, and the traffic rates that decide on both.
 #[derive(Default)]
 pub struct Fleet {
-    pub listed: NodeListSettings,
+    pub list_settings: NodeListSettings,
     pub warm_up: WarmUp,
     pub nodes: Nodes,
-    pub waits: Span,
-    /// Share of answers that go astray: later forwards to the same node are answered first.
-    pub astray: f64,
-    /// Usual pace of a node by its kind.
-    pub paces: Vec<f64>,
-    /// The nodes in use, and how many of a kind that may be.
-    pub hand: Vec<usize>,
-    pub width: usize,
-    /// Hits taken since the last look, looks so far, and hits usually taken in a second.
-    pub taken: f64,
-    pub looks: f64,
-    pub rate: f64,
-    /// Hits a second in the long run.
-    pub calm: f64,
+    /// Mean wait before the next request for the list, after a failed one.
+    pub list_retry_delay: Span,
+    /// Share of answers that are lost: later forwards to the same node are answered first.
+    pub lost_answer_share: f64,
+    /// Usual latency ratio of a node, by its kind.
+    pub kind_latency_ratios: Vec<f64>,
+    /// The nodes in use, as indices, and how many of a build and zone that may be.
+    pub subset: Vec<usize>,
+    pub subset_width: usize,
+    /// Hits received in this evaluation interval, intervals so far, and moving average of hits per second.
+    pub interval_hits: f64,
+    pub intervals: f64,
+    pub hit_rate: f64,
+    /// Hits per second in the long run.
+    pub long_run_hit_rate: f64,
 }
 
 impl Fleet {
-    /// Usual pace of a kind; until known, a node needs the expected work.
-    pub fn usual(&mut self, kind: u16) -> f64 {
+    /// Usual latency ratio of a kind; 1 until known: an answer takes the expected work.
+    pub fn kind_latency_ratio(&mut self, kind: u16) -> f64 {
         let kind = usize::from(kind);
-        self.paces.resize(self.paces.len().max(kind + 1), 1.0);
-        self.paces[kind]
+        self.kind_latency_ratios.resize(self.kind_latency_ratios.len().max(kind + 1), 1.0);
+        self.kind_latency_ratios[kind]
     }
 
-    /// Takes the last span's hits into the rates: a plain mean at first, then by `weight`, or by `slow`.
-    pub fn measure(&mut self, seconds: f64, weight: f64, slow: f64) {
-        self.looks += 1.0;
-        self.calm += slow.max(1.0 / self.looks) * (self.taken / seconds - self.calm);
-        self.rate += weight.max(1.0 / self.looks) * (self.taken / seconds - self.rate);
-        self.taken = 0.0;
+    /// Adds an interval's hits to the rates: a plain mean at first, then moving averages by `weight` and, in
+    /// the long run, `long_run_weight`.
+    pub fn update_rates(&mut self, seconds: f64, weight: f64, long_run_weight: f64) {
+        self.intervals += 1.0;
+        self.long_run_hit_rate += long_run_weight.max(1.0 / self.intervals)
+            * (self.interval_hits / seconds - self.long_run_hit_rate);
+        self.hit_rate += weight.max(1.0 / self.intervals) * (self.interval_hits / seconds - self.hit_rate);
+        self.interval_hits = 0.0;
     }
 }
