--- a/src/host.rs
+++ b/src/host.rs
@@ -1,36 +1,46 @@
-//! The interface between the decisions and whatever carries them: what the module calls (`Host`) and
-//! the few words that both sides share. No decision is made here.
+//! The interface between the decisions and the program around them: the calls that the module makes (`Host`)
+//! and the types that both sides share. No decision is made here.
 
 use crate::time::Span;
 
-/// Why a hit was given up, for those who look for the cause of a bounce.
+/// Why a hit was given up; for traces of a bounce or an error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GiveUpReason {
-    /// No node was open to it for as long as it may be held.
+    /// No node accepted it for as long as it may be held.
     NoRoom,
     /// It would not have been answered in time.
     TooLate,
-    /// A forward failed, and there was nowhere lawful to send it again.
+    /// A forward failed, and no retry was permitted or possible.
     NoSecond,
-    /// Its time ran out.
+    /// Its deadline passed.
     TimeUp,
 }
 
-/// Everything the module can ask for. Hit and node ids are handed back as they came in.
+/// Everything that the module asks of its host. Ids of hits and nodes are those that the host passed in; a
+/// `hop` is the number of a hit's forward, from zero.
 pub trait Host {
+    /// Sends a hit to a node; the forward is to end within `timeout`.
     fn forward(&mut self, hit: u32, node: u64, timeout: Span);
+    /// Answers a hit with a bounce: a retry is harmless, and may be sent after `retry_after`.
     fn bounce(&mut self, hit: u32, retry_after: Span);
+    /// Answers a hit with an error: it may have taken effect, so a retry is not safe.
     fn error(&mut self, hit: u32);
-    /// Says why the bounce or the error that follows was decided.
+    /// Gives the reason of the bounce or the error that follows.
     fn report_give_up(&mut self, _hit: u32, _reason: GiveUpReason) {}
+    /// Cancels a forward that is in flight.
     fn cancel(&mut self, hit: u32, hop: u8);
+    /// Casts or replaces the vote on a build; `Verdict::None` withdraws it.
     fn vote(&mut self, build: u16, stage: u8, verdict: Verdict);
+    /// Subscribes to the node list, or ends the subscription.
     fn watch(&mut self, on: bool);
+    /// Requests the node list once.
     fn fetch(&mut self);
+    /// Sets a timer: `Marshal::on_timer` is to be called with `token` after `delay`.
     fn set_timer(&mut self, delay: Span, token: u64);
     fn log(&mut self, text: &str);
 }
 
+/// A vote on the build on trial: advance it, hold the clock, or send it back.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Verdict {
     #[default]
@@ -40,7 +50,7 @@
     Back,
 }
 
-/// Where a node stands and what it is, as indices; its weight is a number to set against other nodes'.
+/// What a node is and where it runs, as indices; `weight` compares its capacity with that of other nodes.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct NodeAttributes {
     pub zone: u8,
@@ -62,6 +72,7 @@
     Unsent,
 }
 
+/// Whether a listed node takes forwards: none once it is gone, no new ones while it drains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Readiness {
     Gone,
@@ -69,6 +80,7 @@
     Draining,
 }
 
+/// What a node list contains: changes only, all nodes, or all nodes from a cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListUpdate {
     Delta,
@@ -86,7 +98,7 @@
 }
 
 impl BuildStatus {
-    /// On trial or released: neither taken off nor on its way.
+    /// On trial or released: neither withdrawn nor going back.
     pub fn is_active(self) -> bool {
         matches!(self, BuildStatus::OnTrial | BuildStatus::Released)
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,5 +1,5 @@
-//! The decisions of one marshal, free of wire and I/O: see `policy` for the decisions and `host` for
-//! the interface that the module is called through and calls back.
+//! The decisions of one marshal, without wire formats or I/O: see `policy` for the decisions and `host` for
+//! the calls that they make of the program around them.
 
 pub mod host;
 pub mod index;
--- a/src/outcomes.rs
+++ b/src/outcomes.rs
@@ -3,6 +3,7 @@
 use crate::time::{Span, Time};
 use std::collections::{BTreeMap, VecDeque};
 
+/// How many forwards ended, and how.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct OutcomeCounts {
     pub total: f64,
@@ -49,10 +50,12 @@
 /// Counts by source (a node's index), in its order, each by path group.
 pub type CountsBySource = Vec<(usize, Vec<OutcomeCounts>)>;
 
+/// Sum over all sources and path groups.
 pub fn sum_all(sources: &[(usize, Vec<OutcomeCounts>)]) -> OutcomeCounts {
     OutcomeCounts::sum(&sources.iter().map(|(_, counts)| OutcomeCounts::sum(counts)).collect::<Vec<_>>())
 }
 
+/// Sum over all sources, by path group.
 pub fn sum_by_group(sources: &[(usize, Vec<OutcomeCounts>)], groups: usize) -> Vec<OutcomeCounts> {
     let mut sums = vec![OutcomeCounts::default(); groups];
     sources.iter().for_each(|(_, counts)| sums.iter_mut().zip(counts).for_each(|(sum, c)| sum.add(*c)));
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -22,11 +22,11 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-const WINDOW: Span = Span::millis(5_000);
+const WINDOW: Span = Span::millis(5_000); // of the evidence
 // The next four define the gate; see the design page.
-const SHARE_FLOOR: f64 = 0.05;
-const EXCESS_COUNT: f64 = 3.0;
-const EXCESS_RATIO: f64 = 1.5;
+const SHARE_FLOOR: f64 = 0.05; // least expected share of bad outcomes
+const EXCESS_COUNT: f64 = 3.0; // bad outcomes past the expected number
+const EXCESS_RATIO: f64 = 1.5; // of the bad outcomes to the expected number
 const MIN_OUTCOMES: f64 = 20.0;
 const EXCESS_SIGMAS: f64 = 2.0; // standard deviations by which a single path group must stand out
 const HOLD_SPAN: Span = Span::millis(3_000); // from the start of a stage
@@ -42,7 +42,7 @@
 const MAX_SLOWDOWN: f64 = 2.0; // most that one answer counts, as a multiple of the usual time
 const RENEW_SHARE: f64 = 0.6; // of a vote's lifetime
 const RENEW_SHARE_MANY_VOTES: f64 = 0.9; // each call that renews a vote is missing for another voter
-const WRONG_ANSWER_LOG_ODDS: f64 = 6.9; // one in a thousand that the build is not at fault
+const WRONG_ANSWER_LOG_ODDS: f64 = 6.9; // a thousand to one that reports of wrong answers are right
 const WRONG_ANSWER_LOG_ODDS_MANY_VOTES: f64 = 1.0; // one report, until some 35 right answers follow
 /// Rate of mistaken reports, relative to the reports of a build whose answers are wrong at `SHARE_FLOOR`.
 const MISTAKEN_REPORT_RATIO: f64 = 1.0 / 4.0;
@@ -55,7 +55,8 @@
 const ERROR_COST_TARGETS_MUTATING: f64 = 6.0; // for a hit that can't run again
 const SILENCE_WAITS: f64 = 5.0; // expected answer times without an answer that make a node silent
 const LOSS_RUN_PROBABILITY: f64 = 0.01; // of a run of lost answers, below which the node is suspected
-const TRIAL_PREFERENCE_RATIO: f64 = 1.2; // of the mean cost of earlier nodes, up to which the trial is preferred
+/// Of the mean cost of earlier nodes, up to which a node of the build on trial is preferred.
+const TRIAL_PREFERENCE_RATIO: f64 = 1.2;
 const MIN_WORK_RATIO: f64 = 0.2; // of the mean work: no hit counts as less
 const COLD_LOAD_SHARE: f64 = 0.6; // of the multiple at which a cold node is overloaded
 const MAX_TRIAL_NODE_SHARES: f64 = 4.0; // most that a warm node of a build on trial gets, in fair shares
@@ -64,7 +65,8 @@
 const HEDGE_DELAY_WAITS: f64 = 3.5; // expected answer times until a hedged request
 const HEDGE_DELAY_TARGET_SHARE: f64 = 0.6; // of the target latency, if that is sooner
 const RETRY_BUDGET_PER_HIT: f64 = 0.15; // retries and hedged requests per hit received
-const RETRY_BURST_SPAN: Span = Span::millis(1_500); // whose hits' budget may be spent at once, when nodes are lost
+/// The budget of this span's hits may be spent at once, when nodes are lost.
+const RETRY_BURST_SPAN: Span = Span::millis(1_500);
 const TENANT_BURST_HITS: f64 = 20.0; // within a tenant's share
 const HEDGE_COST: f64 = 5.0; // in retries, as the first forward's work still runs
 const MAX_HOLD_TARGET_SHARE: f64 = 0.1; // longest hold for room, of the target latency
@@ -241,9 +243,9 @@
         if earlier.total < MIN_OUTCOMES || earlier_recent.total < MIN_OUTCOMES / KEPT_WINDOWS {
             return None;
         }
-        // Missing outcomes of a path group are filled in at the share of all groups, kept or recent, whichever
-        // is higher: with a fixed floor that light traffic never replaces, the build would be judged bad for
-        // faults that strike every build.
+        // Missing outcomes of a path group are filled in at the share of all groups, kept or recent,
+        // whichever is higher: with a fixed floor that light traffic never replaces, the build would be
+        // judged bad for faults that strike every build.
         let fill_share = earlier.bad_share().max(earlier_recent.bad_share());
         let (many_votes, floor) = (
             self.needs_many_votes(),
@@ -254,14 +256,14 @@
             let missing = (MIN_OUTCOMES - counts.total).max(0.0);
             *expected = ((counts.bad + missing * fill_share) / (counts.total + missing)).max(floor);
         }
-        // Unhealthy nodes are not the build's fault: it must fail clearly without its worst third of nodes, or
-        // without one more than look unhealthy elsewhere.
+        // Unhealthy nodes are not the build's fault: it must fail clearly without its worst third of nodes,
+        // or without one more than look unhealthy elsewhere.
         let is_unhealthy =
             |n: &&Node| n.build != build && n.error_score >= FAILURE_WEIGHT && !n.is_silent(now);
         let unhealthy = nodes.ready().filter(is_unhealthy).count();
         let usual_exclusion = (1 + unhealthy).max(build_nodes.len().div_ceil(3));
-        // Where many votes are needed, each marshal meets few nodes of the build: of those it excludes the
-        // part that looks unhealthy elsewhere.
+        // Where many votes are needed, each marshal sends to few nodes of the build: of those it excludes
+        // the part that looks unhealthy elsewhere.
         let proportional = (unhealthy * build_nodes.len()).div_ceil(earlier_nodes.len().max(1));
         let excluded = if many_votes { proportional } else { usual_exclusion }.min(build_nodes.len());
         let discounted = if self.voting.votes_needed > VOTERS_PER_VOTE { excluded } else { 0 };
@@ -325,10 +327,10 @@
     }
 
     /// May a vote back be cast now? Where more votes must stand at once than the platform takes calls in a
-    /// vote's lifetime, marshals that vote at any time would never reach the number needed. The platform saves
-    /// up calls that nobody makes (32 were taken at once where it takes 16 a second), so all marshals vote back
-    /// in one turn and pause until the next, by the stage's age, which all know. Holds at the begin of a stage
-    /// come first. Limitation: a bad build stays for one pause longer.
+    /// vote's lifetime, marshals that vote at any time would never reach the number needed. The platform
+    /// accumulates calls that nobody makes (32 were taken at once where it takes 16 a second), so all
+    /// marshals vote back in one turn and pause until the next, by the stage's age, which all know. Holds at
+    /// the beginning of a stage come first. Limitation: a bad build stays for one pause longer.
     fn in_turn(&self, status: BuildStatus, stage_age: Span) -> bool {
         let VotingRules { votes_needed, vote_lifetime, calls_per_s, .. } = self.voting;
         let (turn, round_seconds) = (
@@ -450,7 +452,8 @@
         let (warm_share, surge) =
             (self.warm_share(node, now), (self.hit_rate / self.long_run_hit_rate).max(1.0));
         let multiple = match (warm_share < 1.0, on_trial) {
-            // No retries: where all nodes are cold, a failed hit's point would lead to the same node each time.
+            // No retries: where all nodes are cold, a failed hit's point would lead to the same node each
+            // time.
             (true, _) if !hit.forwards.is_empty() => 0.0,
             (true, _) => {
                 self.warm_up.overload_multiple
@@ -538,6 +541,7 @@
         self.fleet.list_retry_delay = LIST_RETRY_DELAY;
     }
 
+    /// An entry of the list; `started_at` is when the node's process started, `EPOCH` for long ago.
     pub fn on_list_entry(
         &mut self, id: u64, attributes: NodeAttributes, readiness: Readiness, build: u16, started_at: Time,
     ) {
@@ -547,6 +551,7 @@
             .update_entry(Node { latency_ratio, ..Node::new(id, attributes, readiness, build, started_at) });
     }
 
+    /// The list is complete: what a full one left out is gone.
     pub fn on_list_end(&mut self, host: &mut impl Host) {
         self.fleet.nodes.end_list();
         self.fleet.select_subset();
@@ -563,8 +568,8 @@
             .min(fleet.list_settings.max_request_interval * MAX_LIST_RETRY_SHARE);
     }
 
-    /// The platform reported the state of the newest build; `age` is how long the stage has lasted. `reply` is
-    /// how the call of this marshal's vote ended, if the report answers one.
+    /// The platform reported the state of the newest build; `age` is how long the stage has lasted. `reply`
+    /// is how the call of this marshal's vote ended, if the report answers one.
     pub fn on_stage(
         &mut self, host: &mut impl Host, now: Time, (build, stage): (u16, u8), status: BuildStatus, cap: f64,
         age: Span, reply: Option<ForwardOutcome>,
@@ -598,8 +603,8 @@
         self.dispatch_waiting(host);
     }
 
-    /// The platform's counts over all marshals, of outcomes in total and bad ones. They arrive seconds late and
-    /// only help marshals whose own outcomes are few.
+    /// The platform's counts over all marshals, of outcomes in total and bad ones. They arrive seconds late
+    /// and only help marshals whose own outcomes are few.
     pub fn on_platform_counts(&mut self, now: Time, (build, group): (u16, usize), (total, bad): (u32, u32)) {
         self.now = now;
         let counts =
@@ -654,9 +659,9 @@
     }
 
     /// Has the newest build enough good outcomes for hits of this effect? Cheapest first: more expensive path
-    /// groups follow as good outcomes come in, or as the build passes stages. Where many votes are needed, each
-    /// marshal contributes its part of the evidence: an expensive path group that fails should be found while
-    /// the cap is lowest. Limitation: a build that fails all expensive hits gets the first ones.
+    /// groups follow as good outcomes come in, or as the build passes stages. Where many votes are needed,
+    /// each marshal contributes its part of the evidence: an expensive path group that fails should be found
+    /// while the cap is lowest. Limitation: a build that fails all expensive hits gets the first ones.
     fn has_proven(&self, effect: Effect) -> bool {
         let evidence = self.gate.record.net_good_outcomes
             + MIN_OUTCOMES * self.gate.announced.map_or(0.0, |a| f64::from(a.1));
@@ -830,8 +835,8 @@
         self.set_state(host, slot, HitState::Forwarded);
     }
 
-    /// The only place where a hit changes state: it reports final states to the host and cancels forwards that
-    /// are still in flight.
+    /// The only place where a hit changes state: it reports final states to the host and cancels forwards
+    /// that are still in flight.
     fn set_state(&mut self, host: &mut impl Host, slot: usize, to: HitState) {
         let hit = &mut self.hits[slot];
         if hit.state.is_final() {
@@ -948,8 +953,9 @@
         node.error_score_updated_at = now;
     }
 
-    /// Records what an outcome says of its build: the design's evidence. Ignored are probes, the first outcomes
-    /// of a started node, late ones while it is cold, and missing answers of a node that is silent since.
+    /// Records what an outcome says of its build: the design's evidence. Ignored are probes, the first
+    /// outcomes of a started node, late ones while it is cold, and missing answers of a node that is silent
+    /// since.
     fn record_evidence(
         &mut self, forward: &Forward, group: usize, outcome: ForwardOutcome, latency: Span, work_seconds: f64,
     ) {
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,10 +1,10 @@
-//! What a marshal is told at its start, a few figures for each part of the module. Only carried here:
-//! what follows from them is decided in `policy`.
+//! The settings that a marshal gets at its start, one type for each part of the module. They are only
+//! carried here; the decisions based on them are in `policy`.
 
 use crate::host::NodeAttributes;
 use crate::time::Span;
 
-/// The group of nodes that drops repeats of a tagged hit.
+/// Which nodes together drop repeats of a tagged hit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupScope {
     All,
@@ -13,7 +13,7 @@
 }
 
 impl DedupScope {
-    /// Do the two places belong to one group?
+    /// Do nodes with these attributes drop each other's repeats?
     pub fn same_group(self, one: NodeAttributes, other: NodeAttributes) -> bool {
         match self {
             DedupScope::All => true,
@@ -23,6 +23,7 @@
     }
 }
 
+/// Whether a hit may run more than once. Nodes drop repeats of a tagged hit for `dedup_window`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
     Repeatable,
@@ -30,31 +31,36 @@
     Mutating,
 }
 
+/// A class of hits with the same handling.
 #[derive(Clone, Copy, Debug)]
 pub struct PathGroup {
     pub effect: Effect,
     pub target_latency: Span,
     /// The target latency grows by this many times the hit's own work.
     pub target_stretch: f64,
+    /// How long clients wait for an answer.
     pub timeout: Span,
-    /// Share of the benefit of an answer after the target latency.
+    /// Share of the benefit that an answer after the target latency still has.
     pub late_benefit: f64,
     pub benefit: f64,
 }
 
-/// How a hit may be handled at this site.
+/// How hits may be handled at this site.
 #[derive(Clone, Copy, Debug)]
 pub struct SiteLimits {
     /// Most forwards of one hit.
     pub max_forwards: usize,
+    /// Hedged requests are permitted.
     pub hedging: bool,
+    /// Nodes can be told to drop a forward.
     pub cancellation: bool,
-    /// Longest wait that a bounced client obeys; zero where it is not told any.
+    /// Longest retry-after that a bounced client obeys; zero where bounces carry none.
     pub max_retry_after: Span,
+    /// Calls of the host take effect up to this much later.
     pub tick: Span,
 }
 
-/// Each tenant's share, and the worth of what goes past it.
+/// Each tenant's share of the traffic, and the factor on the value of hits past it.
 #[derive(Clone, Debug, Default)]
 pub struct Tenancy {
     pub shares: Vec<f64>,
@@ -64,15 +70,19 @@
 /// How much of the traffic a build on trial may get.
 #[derive(Clone, Debug, Default)]
 pub struct ExposureLimits {
+    /// Hits that it may get at once beyond its cap: the depth of the token buckets.
     pub allowance: f64,
+    /// The cap is counted by path group, not over all of them.
     pub per_group: bool,
+    /// In stages below this one only repeatable path groups are sent to it.
     pub repeatable_only_stages: u8,
+    /// A key that it has answered must not return to an earlier build.
     pub sticky_keys: bool,
-    /// Most share by stage.
+    /// Highest share of the traffic by stage.
     pub stage_caps: Vec<f64>,
 }
 
-/// What moves a stage on: a clock that votes can hold, or 'on' votes.
+/// What advances a stage: a clock that votes can hold, or `On` votes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum StageControl {
     #[default]
@@ -83,6 +93,7 @@
 /// How marshals vote on a build.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct VotingRules {
+    /// This marshal's number, from zero.
     pub marshal_index: usize,
     pub marshal_count: usize,
     pub control: StageControl,
@@ -90,31 +101,38 @@
     pub votes_needed: usize,
     /// Marshals whose votes hold the clock.
     pub holds_needed: usize,
+    /// How long a vote counts unless it is renewed.
     pub vote_lifetime: Span,
     pub call_timeout: Span,
+    /// Calls per second that the platform takes from all marshals together.
     pub calls_per_s: f64,
     /// Share of wrong answers that clients report; zero where they report none.
     pub reported_share: f64,
 }
 
-/// How nodes are told of, and what crossing zones costs.
+/// How nodes are listed, and what crossing zones costs.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct NodeListSettings {
-    /// This marshal's number.
+    /// This marshal's number, from zero.
     pub marshal_index: usize,
+    /// The zone of this marshal.
     pub zone: u8,
+    /// Cost of a forward to another zone, in target latencies.
     pub cross_zone_cost: f64,
-    /// The list answers only when asked.
+    /// The list is sent only on request.
     pub on_request: bool,
+    /// Interval within which the list must be requested.
     pub max_request_interval: Span,
-    /// Machines of the earlier build stay until the new one is released.
+    /// Nodes of the earlier build stay until the new one is released.
     pub parallel_layout: bool,
 }
 
-/// How a started node warms up, and when it falls over.
+/// How a started node warms up, and when it is overloaded.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct WarmUp {
+    /// Share of its capacity that a node has at its start; it rises linearly to 1.
     pub initial_share: f64,
     pub duration: Span,
+    /// Multiple of its present capacity at which a cold node fails.
     pub overload_multiple: f64,
 }
--- a/src/state.rs
+++ b/src/state.rs
@@ -12,6 +12,7 @@
 use std::collections::{BTreeMap, HashSet, VecDeque};
 use std::ops::{Index, IndexMut};
 
+/// State of a hit; the last four are final.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HitState {
     /// No forward in flight; held for room.
@@ -80,6 +81,7 @@
     Hedge,
 }
 
+/// One attempt to have a hit answered by a node.
 #[derive(Clone, Copy)]
 pub struct Forward {
     /// Index of the node in `Nodes::rows`.
@@ -103,6 +105,7 @@
     }
 }
 
+/// One request of a client.
 pub struct Hit {
     pub id: u32,
     /// Index of its path group.
@@ -138,6 +141,7 @@
     }
 }
 
+/// What is known of one node, and this marshal's estimates of it.
 pub struct Node {
     pub id: u64,
     pub attributes: NodeAttributes,
@@ -147,8 +151,8 @@
     pub started_at: Time,
     /// This marshal's forwards to it that have not ended yet.
     pub open_forwards: u32,
-    /// Exponentially weighted moving averages of answer time over expected work, and of the open forwards that
-    /// the node had when it got the forward; and when both were last updated.
+    /// Exponentially weighted moving averages of answer time over expected work, and of the open forwards
+    /// that the node had when it got the forward; and when both were last updated.
     pub latency_ratio: f64,
     pub usual_load: f64,
     pub latency_updated_at: Time,
@@ -175,7 +179,8 @@
         self.unanswered_since.is_some() && now > self.silence_deadline
     }
 
-    /// The open forward waits in the node's queue: the node is not silent, and has not answered a later forward.
+    /// The open forward waits in the node's queue: the node is not silent, and has not answered a later
+    /// forward.
     pub fn is_queued(&self, forward: &Forward, now: Time) -> bool {
         !self.is_silent(now) && self.answered_sent_at <= forward.sent_at
     }
@@ -254,7 +259,8 @@
         self.rows.iter().filter(|n| n.readiness == Readiness::Ready)
     }
 
-    /// The indices of ready nodes by build and zone, ranked by a hash of the node's id and the marshal's index.
+    /// The indices of ready nodes by build and zone, ranked by a hash of the node's id and the marshal's
+    /// index.
     pub fn ranked(&self, marshal_index: usize) -> BTreeMap<(u16, u8), Vec<usize>> {
         let mut ranked: BTreeMap<(u16, u8), Vec<usize>> = BTreeMap::new();
         for (at, node) in self.rows.iter().enumerate().filter(|(_, n)| n.readiness == Readiness::Ready) {
@@ -291,7 +297,8 @@
         }
     }
 
-    /// Ends a list; nodes that a full one left out are gone. Gone nodes are forgotten once their forwards ended.
+    /// Ends a list; nodes that a full one left out are gone. Gone nodes are forgotten once their forwards
+    /// ended.
     pub fn end_list(&mut self) {
         for (at, named) in self.named.take().into_iter().flatten().enumerate() {
             if !named {
--- a/src/time.rs
+++ b/src/time.rs
@@ -1,10 +1,12 @@
-//! Points in time and spans, in whole nanoseconds; the two can't be mixed up.
+//! Points in time and spans of time in whole nanoseconds, as two types that can't be confused.
 
 use std::ops::{Add, Mul, Sub};
 
+/// A point in time: nanoseconds since the host's time zero.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Time(u64);
 
+/// A span of time in nanoseconds. Sums saturate, and differences stop at zero.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Span(u64);
 
@@ -37,7 +39,7 @@
         self.0 as f64 / 1e9
     }
 
-    /// How many times `other` this span is; an empty `other` counts as one nanosecond.
+    /// Ratio of this span to `other`; a zero `other` counts as one nanosecond.
     pub fn ratio_to(self, other: Span) -> f64 {
         self.0 as f64 / other.0.max(1) as f64
     }
@@ -50,7 +52,7 @@
     }
 }
 
-/// The time since `earlier`, zero if that lies ahead.
+/// The time since `earlier`; zero if that is later than this point.
 impl Sub for Time {
     type Output = Span;
     fn sub(self, earlier: Time) -> Span {
