--- a/src/policy.rs
+++ b/src/policy.rs
@@ -316,14 +316,16 @@
         build_nodes.sort_by(|a, b| {
             OutcomeCounts::sum(&b.1).mean_slowdown().total_cmp(&OutcomeCounts::sum(&a.1).mean_slowdown())
         });
-        let (kept, usual) =
+        let (kept_total, usual) =
             (sum_all(&build_nodes[excluded..]), earlier.mean_slowdown().max(earlier_recent.mean_slowdown()));
         let comparable_load = sum_all(&build_nodes).total * earlier_nodes.len() as f64
             <= COMPARABLE_LOAD_RATIO * earlier.total * build_nodes.len() as f64;
         let slow = comparable_load
-            && kept.timed >= MIN_OUTCOMES / 2.0
-            && kept.mean_slowdown() >= EXCESS_RATIO * usual;
-        slow.then(|| format!("slow: mean slowdown {:.2}, of earlier builds {usual:.2}", kept.mean_slowdown()))
+            && kept_total.timed >= MIN_OUTCOMES / 2.0
+            && kept_total.mean_slowdown() >= EXCESS_RATIO * usual;
+        slow.then(|| {
+            format!("slow: mean slowdown {:.2}, of earlier builds {usual:.2}", kept_total.mean_slowdown())
+        })
     }
 
     /// May a vote back be cast now? Where more votes must stand at once than the platform takes calls in a
