--- a/crates/lab/src/soak.rs
+++ b/crates/lab/src/soak.rs
@@ -18,7 +18,7 @@
 use std::path::Path;
 use std::time::Duration;
 use stonescale::time::Span;
-use stonescale_operator::{Sheet, sheet};
+use stonescale_operator::{IniSettings, ini_settings};
 
 const MIB: f64 = 1024.0 * 1024.0;
 /// How often the world is looked after.
@@ -76,41 +76,56 @@
 
 impl Scenario {
     pub fn read(path: &Path) -> Result<Self, String> {
-        Self::of(Sheet::read(path)?)
+        Self::of(IniSettings::read(path)?)
     }
 
-    pub fn of(mut sheet: Sheet) -> Result<Self, String> {
-        let span = |sheet: &mut Sheet, key, default| {
-            sheet.take("soak", key, default, sheet::span, |s| sheet::shown(*s)).map(duration)
+    pub fn of(mut sheet: IniSettings) -> Result<Self, String> {
+        let span = |sheet: &mut IniSettings, key, default| {
+            sheet
+                .take_value("soak", key, default, ini_settings::parse_duration, |s| {
+                    ini_settings::format_duration(*s)
+                })
+                .map(duration)
         };
         let phase = span(&mut sheet, "phase", Span::millis(4_000))?;
         let sample = span(&mut sheet, "sample", Span::millis(500))?;
         let keepalive = span(&mut sheet, "keepalive", Span::millis(3_000))?;
         if phase.is_zero() || sample.is_zero() {
-            return Err(sheet.wrong("soak", Some("phase"), "and sample must be longer than nothing"));
+            return Err(sheet.error_message("soak", Some("phase"), "and sample must be longer than nothing"));
         }
         let scenario = Scenario {
             phase,
             sample,
             keepalive,
-            seed: sheet.take("soak", "seed", 1, number(0, u64::MAX), u64::to_string)?,
-            nodes: sheet.take("soak", "nodes", 6, number(1, 200), usize::to_string)?,
+            seed: sheet.take_value("soak", "seed", 1, number(0, u64::MAX), u64::to_string)?,
+            nodes: sheet.take_value("soak", "nodes", 6, number(1, 200), usize::to_string)?,
             limits: Limits {
-                memory_mb: sheet.take("soak", "memory_mb", 32, number(1, 65_536), usize::to_string)?,
-                sockets: sheet.take("soak", "sockets", 512, number(32, 65_536), usize::to_string)?,
+                memory_mb: sheet.take_value("soak", "memory_mb", 32, number(1, 65_536), usize::to_string)?,
+                sockets: sheet.take_value("soak", "sockets", 512, number(32, 65_536), usize::to_string)?,
             },
-            rate: sheet.take("soak", "rate", 200.0, number(1.0, 100_000.0), f64::to_string)?,
-            rogues: sheet.take("soak", "rogues", 40, number(1, 10_000), usize::to_string)?,
-            cycles: sheet.take("soak", "cycles", 2, number(1, 10_000), usize::to_string)?,
-            warm_up: sheet.take("soak", "warm_up", 1, number(0, 10_000), usize::to_string)?,
-            troubles: sheet.take("soak", "troubles", faults::ALL.to_vec(), troubles, |t| {
+            rate: sheet.take_value("soak", "rate", 200.0, number(1.0, 100_000.0), f64::to_string)?,
+            rogues: sheet.take_value("soak", "rogues", 40, number(1, 10_000), usize::to_string)?,
+            cycles: sheet.take_value("soak", "cycles", 2, number(1, 10_000), usize::to_string)?,
+            warm_up: sheet.take_value("soak", "warm_up", 1, number(0, 10_000), usize::to_string)?,
+            troubles: sheet.take_value("soak", "troubles", faults::ALL.to_vec(), troubles, |t| {
                 t.iter().map(|t| t.name()).collect::<Vec<_>>().join(", ")
             })?,
-            purposes: sheet.take("tolerance", "purposes", 500.0, number(0.0, 1e9), f64::to_string)?,
-            resident: sheet.take("tolerance", "resident", 4_000.0, number(0.0, 1e9), f64::to_string)?,
-            descriptors: sheet.take("tolerance", "descriptors", 0.2, number(0.0, 1e9), f64::to_string)?,
-            unaccounted: sheet
-                .take("tolerance", "unaccounted", 0.15, sheet::part, |p| format!("{:.0}%", p * 100.0))?,
+            purposes: sheet.take_value("tolerance", "purposes", 500.0, number(0.0, 1e9), f64::to_string)?,
+            resident: sheet.take_value("tolerance", "resident", 4_000.0, number(0.0, 1e9), f64::to_string)?,
+            descriptors: sheet.take_value(
+                "tolerance",
+                "descriptors",
+                0.2,
+                number(0.0, 1e9),
+                f64::to_string,
+            )?,
+            unaccounted: sheet.take_value(
+                "tolerance",
+                "unaccounted",
+                0.15,
+                ini_settings::parse_percentage,
+                |p| format!("{:.0}%", p * 100.0),
+            )?,
         };
         sheet.finish()?;
         Ok(scenario)
@@ -172,7 +187,7 @@
     scenario: &Scenario, binary: &Path, out: Option<&Path>, mut told: impl FnMut(Duration, Duration, Fault),
 ) -> Result<Report, String> {
     let operator = fresh_path("ini");
-    let sample = sheet::shown(Span::nanos(scenario.sample.as_nanos() as u64));
+    let sample = ini_settings::format_duration(Span::nanos(scenario.sample.as_nanos() as u64));
     let text = format!("[log]\nformat = json\nlines_per_second = 10000\n[memory]\nreport_every = {sample}\n");
     std::fs::write(&operator, text).map_err(|e| format!("{}: {e}", operator.display()))?;
     let usual = NodeBehavior { cores: 8, ..NodeBehavior::default() };
--- a/crates/lab/tests/books.rs
+++ b/crates/lab/tests/books.rs
@@ -10,7 +10,7 @@
 use stonescale_lab::release::{Action, Release, ReleasePlan};
 use stonescale_lab::soak::Scenario;
 use stonescale_lab::trend::Trend;
-use stonescale_operator::Sheet;
+use stonescale_operator::IniSettings;
 
 fn at(ms: u64) -> Time {
     Time::at((1_000_000 + ms) * 1_000_000)
@@ -208,7 +208,7 @@
 #[case("[soak]\nphases = 3", "[soak] phases is no key here")]
 #[case("[tolerance]\nunaccounted = 15", "is not a part such as 25%")]
 fn a_wrong_scenario_is_refused_with_one_readable_line(#[case] text: &str, #[case] why: &str) {
-    let told = Sheet::parse("s.ini", text).and_then(Scenario::of).unwrap_err();
+    let told = IniSettings::parse("s.ini", text).and_then(Scenario::of).unwrap_err();
     assert!(told.contains(why) && told.lines().count() == 1, "{told}");
 }
 
@@ -216,5 +216,5 @@
 #[case(include_str!("../../../deploy/soak-short.ini"))]
 #[case(include_str!("../../../deploy/soak-long.ini"))]
 fn the_shipped_scenarios_can_be_read(#[case] text: &str) {
-    Sheet::parse("s.ini", text).and_then(Scenario::of).unwrap();
+    IniSettings::parse("s.ini", text).and_then(Scenario::of).unwrap();
 }
--- a/crates/marshal/src/clients.rs
+++ b/crates/marshal/src/clients.rs
@@ -18,7 +18,7 @@
 use stonescale_budget::plan::{CLIENT_CONNECTION_BYTES, HIT_BYTES};
 use stonescale_budget::{Buffer, Ledger, Purpose};
 use stonescale_formats::resp::{ElementKind, Scanner};
-use stonescale_site::Names;
+use stonescale_site::WireNames;
 use tracing::{debug, warn};
 
 /// How soon accepting looks again after it was short of room or of descriptors.
@@ -42,7 +42,7 @@
 /// What all client connections share.
 pub struct Clients {
     inbox: Rc<Inbox>,
-    names: Names,
+    names: WireNames,
     crowd: Rc<Crowd>,
     ledger: Ledger,
     most: usize,
@@ -71,7 +71,7 @@
 
 impl Clients {
     pub fn new(
-        inbox: Rc<Inbox>, crowd: Rc<Crowd>, names: Names, (most, crowded): (usize, usize),
+        inbox: Rc<Inbox>, crowd: Rc<Crowd>, names: WireNames, (most, crowded): (usize, usize),
     ) -> Rc<Self> {
         let (ledger, scratch) = (crowd.ledger.clone(), RefCell::new(vec![0; VALUE]));
         Rc::new(Clients { inbox, names, crowd, ledger, most, crowded, count: Cell::new(0), scratch })
@@ -269,7 +269,7 @@
     }
 
     fn bounced(&self, group: usize) -> Vec<u8> {
-        command::bounced(retry_after(self.names.groups[group].target, self.names.retry_in))
+        command::bounced(retry_after(self.names.groups[group].target_latency, self.names.max_retry_after))
     }
 
     /// Says why a connection is read no more; it is closed once that and all before it is answered.
--- a/crates/marshal/src/command.rs
+++ b/crates/marshal/src/command.rs
@@ -5,7 +5,7 @@
 use stonescale::time::Span;
 use stonescale_budget::buffer::Block;
 use stonescale_formats::resp::{self, Element, MessageLimits};
-use stonescale_site::Names;
+use stonescale_site::WireNames;
 
 /// A value or body holds at most 64 KiB, by the protocol page; the rest of a command is short.
 pub const VALUE: usize = 64 * 1024;
@@ -74,7 +74,7 @@
 }
 
 /// What a command asks for; an error says what is wrong with it.
-pub fn understand(bytes: &[u8], parts: &[Element], names: &Names) -> Result<Request, String> {
+pub fn understand(bytes: &[u8], parts: &[Element], names: &WireNames) -> Result<Request, String> {
     let word = |at: usize| parts.get(at).map(|p| &bytes[p.payload.clone()]).unwrap_or_default();
     let name = String::from_utf8_lossy(word(0)).to_ascii_uppercase();
     let plain = |text: &str| {
@@ -104,7 +104,7 @@
 }
 
 /// What the third argument says; also of a command whose body has not come.
-pub fn read_list(bytes: &[u8], parts: &[Element], names: &Names) -> Result<Ask, String> {
+pub fn read_list(bytes: &[u8], parts: &[Element], names: &WireNames) -> Result<Ask, String> {
     let word = |at: usize| parts.get(at).map(|p| &bytes[p.payload.clone()]).unwrap_or_default();
     let list = parts.get(3).ok_or("no list of names and values")?;
     let (mut group, mut tenant, mut wait, mut tagged) = (None, None, None, false);
--- a/crates/marshal/src/discovery.rs
+++ b/crates/marshal/src/discovery.rs
@@ -17,7 +17,7 @@
 use stonescale_budget::{Ledger, Purpose};
 use stonescale_formats::http::ResponseParser;
 use stonescale_formats::lines::LineBuffer;
-use stonescale_site::Names;
+use stonescale_site::WireNames;
 use tracing::info;
 
 /// An empty line comes every 2 s, by the protocol page: after two without one, nothing will come.
@@ -53,7 +53,7 @@
 }
 
 impl Places {
-    pub fn of(names: &Names) -> Self {
+    pub fn of(names: &WireNames) -> Self {
         Places { zones: names.zones.clone(), kinds: names.kinds.clone() }
     }
 
--- a/crates/marshal/src/logger.rs
+++ b/crates/marshal/src/logger.rs
@@ -6,7 +6,7 @@
 use std::sync::atomic::{AtomicU32, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
-use stonescale_operator::Format;
+use stonescale_operator::LogFormat;
 use tracing::level_filters::LevelFilter;
 use tracing::{Event, Level, Metadata, Subscriber};
 use tracing_appender::non_blocking::{NonBlocking, NonBlockingBuilder, WorkerGuard};
@@ -61,20 +61,20 @@
 }
 
 /// Starts the log; `memory` bytes at most wait to be written.
-pub fn start(level: LevelFilter, format: Format, lines: u32, memory: usize) -> Log {
+pub fn start(level: LevelFilter, format: LogFormat, lines: u32, memory: usize) -> Log {
     let (bounded, log) = bounded(io::stderr(), format, lines, memory);
     let builder = tracing_subscriber::fmt().with_max_level(level).with_writer(bounded);
     // Only a second start in one process could fail, and there is none.
     let _ = match format {
-        Format::Text => builder.with_ansi(false).event_format(Plain).try_init(),
-        Format::Json => {
+        LogFormat::Text => builder.with_ansi(false).event_format(Plain).try_init(),
+        LogFormat::Json => {
             builder.json().flatten_event(true).with_timer(Unix).with_current_span(false).try_init()
         }
     };
     log
 }
 
-fn bounded(out: impl Write + Send + 'static, format: Format, lines: u32, memory: usize) -> (Bounded, Log) {
+fn bounded(out: impl Write + Send + 'static, format: LogFormat, lines: u32, memory: usize) -> (Bounded, Log) {
     let (memory, waiting) = (memory.min(MOST), Arc::new(AtomicUsize::new(0)));
     let counted = Counted { out, waiting: waiting.clone() };
     // The bytes are the bound: so many lines never come to wait, and none is lost uncounted.
@@ -82,7 +82,7 @@
     let (out, guard) = NonBlockingBuilder::default().buffered_lines_limit(most).lossy(true).finish(counted);
     let lines = Arc::new(AtomicU32::new(lines));
     let second = Arc::new(Mutex::new(Second { start: Instant::now(), lines: 0, left_out: 0 }));
-    let json = format == Format::Json;
+    let json = format == LogFormat::Json;
     let bounded = Bounded { out, lines: lines.clone(), second, json, memory, waiting: waiting.clone() };
     (bounded, Log { _guard: guard, lines, waiting })
 }
@@ -213,7 +213,7 @@
     fn lines_that_nobody_takes_stay_within_the_logs_memory_and_are_counted() {
         const MEMORY: usize = 16 * 1024;
         let ((let_through, gate), (write, written)) = (channel(), channel());
-        let (bounded, log) = bounded(Gate(gate, write), Format::Text, u32::MAX, MEMORY);
+        let (bounded, log) = bounded(Gate(gate, write), LogFormat::Text, u32::MAX, MEMORY);
         let line = "x".repeat(99) + "\n";
         for _ in 0..1_000 {
             bounded.make_writer().write_all(line.as_bytes()).unwrap();
--- a/crates/marshal/src/serve.rs
+++ b/crates/marshal/src/serve.rs
@@ -26,7 +26,7 @@
 use stonescale::host::{Host, ListUpdate};
 use stonescale::time::Span;
 use stonescale_budget::{Ledger, Plan, Purpose};
-use stonescale_operator::{InForce, Operator};
+use stonescale_operator::{EffectiveSetting, OperatorSettings};
 use tracing::{error, info, warn};
 
 /// After SIGTERM new connections come for 0.4 s at most, by the protocol page; for so long all goes on.
@@ -39,8 +39,8 @@
 /// Both files as they were read.
 struct Read {
     root: Value,
-    operator: Operator,
-    in_force: Vec<InForce>,
+    operator: OperatorSettings,
+    in_force: Vec<EffectiveSetting>,
     plan: Plan,
     /// What the configuration holds, in a line.
     said: String,
@@ -48,7 +48,7 @@
 
 impl Read {
     fn of(config: &Path, operator: Option<&Path>) -> Result<Self, String> {
-        let (operator, in_force) = Operator::read(operator)?;
+        let (operator, in_force) = OperatorSettings::read(operator)?;
         let root = startup::read(config)?;
         let (said, plan) = look_through(&root, &operator)?;
         Ok(Read { root, operator, in_force, plan, said })
@@ -56,24 +56,24 @@
 }
 
 /// Checks both files as far as that goes without sockets; says what they hold.
-pub fn check(files: &Files) -> Result<(String, Vec<InForce>), String> {
+pub fn check(files: &Files) -> Result<(String, Vec<EffectiveSetting>), String> {
     let read = Read::of(&startup::place(files.config.clone())?, files.operator.as_deref())?;
     Ok((read.said, read.in_force))
 }
 
-fn look_through(root: &Value, operator: &Operator) -> Result<(String, Plan), String> {
+fn look_through(root: &Value, operator: &OperatorSettings) -> Result<(String, Plan), String> {
     let (name, listen, discovery) = startup::identity(root)?;
     startup::seed(root)?;
     let ((clients, _), links, memory) = startup::limits(root)?;
     let (platform, news) = startup::platform(root)?;
     platform::stage(news).map_err(|e| format!("platform.news: {e}"))?;
     let settings = startup::settings(root)?;
-    let names = stonescale_site::names(settings).map_err(|e| format!("settings.{e}"))?;
+    let names = stonescale_site::wire_names(settings).map_err(|e| format!("settings.{e}"))?;
     let (_, _, entries) = known(root, &Places::of(&names))?;
     let plan = startup::plan(root, names.groups.len(), &operator.memory.shares)?;
-    stonescale_site::links(settings).map_err(|e| format!("settings.{e}"))?;
-    stonescale_site::outside(settings).map_err(|e| format!("settings.{e}"))?;
-    stonescale_site::marshal(settings, 0, Clock::start().now(), &mut Nobody)
+    stonescale_site::node_connection_settings(settings).map_err(|e| format!("settings.{e}"))?;
+    stonescale_site::control_plane_settings(settings).map_err(|e| format!("settings.{e}"))?;
+    stonescale_site::start_marshal(settings, 0, Clock::start().now(), &mut Nobody)
         .map_err(|e| format!("settings.{e}"))?;
     let said = format!(
         "{name} at {listen}; discovery {discovery}, platform {platform}; {} path groups, {} nodes known; \
@@ -109,13 +109,13 @@
     let (platform, news) = startup::platform(&root)?;
     let news = platform::stage(news)?;
     let seed = startup::seed(&root)?;
-    let names = stonescale_site::names(startup::settings(&root)?)?;
+    let names = stonescale_site::wire_names(startup::settings(&root)?)?;
     let places = Rc::new(Places::of(&names));
     let (version, _, entries) = known(&root, &places)?;
     // Only what is compared when it is read again is kept: a list of thousands of nodes is not.
     startup::forget_news(&mut root);
     let settings = startup::settings(&root)?;
-    let (watched, call_timeout) = stonescale_site::outside(settings)?;
+    let (watched, call_timeout) = stonescale_site::control_plane_settings(settings)?;
     let ledger = Ledger::new(&plan);
 
     let listener = TcpListener::bind(listen).and_then(|l| l.set_nonblocking(true).map(|()| l));
@@ -129,7 +129,7 @@
         inbox.clone(),
         tasks.clone(),
         clock,
-        stonescale_site::links(settings)?,
+        stonescale_site::node_connection_settings(settings)?,
         most_links,
         ledger.clone(),
     );
@@ -142,7 +142,7 @@
     platform.at(there.1);
 
     let mut doors = Doors::new(clock, ledger.clone(), inbox.clone(), nodes, discovery, platform);
-    let marshal = stonescale_site::marshal(settings, seed, clock.now(), &mut doors)?;
+    let marshal = stonescale_site::start_marshal(settings, seed, clock.now(), &mut doors)?;
     if !watched {
         // Where changes come without being asked for, that is the watch.
         doors.watch(true);
@@ -197,7 +197,7 @@
 /// either file changes nothing.
 async fn reread(
     signals: Async<UnixStream>, (config, file): (PathBuf, Option<PathBuf>),
-    (running, mut operator): (Value, Operator), mut there: (SocketAddr, SocketAddr), parts: Running,
+    (running, mut operator): (Value, OperatorSettings), mut there: (SocketAddr, SocketAddr), parts: Running,
 ) {
     loop {
         told(&signals).await;
--- a/crates/marshal/src/startup.rs
+++ b/crates/marshal/src/startup.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use stonescale_budget::{Plan, ProcessLimits, Shares};
-use stonescale_site::Told;
+use stonescale_site::ConfigObject;
 
 /// Part of the descriptors kept free for discovery and the platform (two each where they move), the log, and
 /// what the process itself needs; so many at least.
@@ -39,7 +39,7 @@
 fn address(root: &Value, name: &str, key: &str, place: &str) -> Result<SocketAddr, String> {
     let (shown, text) = match variable(name) {
         Some(text) => (name.to_owned(), text),
-        None => (format!("{place}{key}"), Told(root, place).word(key)?.to_owned()),
+        None => (format!("{place}{key}"), ConfigObject(root, place).string(key)?.to_owned()),
     };
     text.parse().map_err(|_| format!("{shown} is not an address and a port: '{text}'"))
 }
@@ -48,7 +48,7 @@
 pub fn identity(root: &Value) -> Result<(String, SocketAddr, SocketAddr), String> {
     let name = match variable("NODE_NAME") {
         Some(name) => name,
-        None => Told(root, "").word("name")?.to_owned(),
+        None => ConfigObject(root, "").string("name")?.to_owned(),
     };
     let listen = address(root, "NODE_LISTEN", "listen", "")?;
     Ok((name, listen, address(root, "NODE_DISCOVERY", "discovery", "")?))
@@ -81,14 +81,14 @@
 
 /// Seed of the random numbers.
 pub fn seed(root: &Value) -> Result<u64, String> {
-    let text = Told(root, "").word("seed")?;
+    let text = ConfigObject(root, "").string("seed")?;
     u64::from_str_radix(text, 16)
         .map_err(|_| format!("seed is not a number of up to 16 hex digits: '{text}'"))
 }
 
 /// Most client connections and what is a crowd of them, most node connections, and the memory limit in bytes.
 pub fn limits(root: &Value) -> Result<((usize, usize), usize, usize), String> {
-    let limits = Told(Told(root, "").need("limits")?, "limits.");
+    let limits = ConfigObject(ConfigObject(root, "").required("limits")?, "limits.");
     let (sockets, memory) = (limits.number("sockets")? as usize, limits.number("memory_mb")? as usize);
     let reserved = ((sockets as f64 * RESERVED) as usize).max(LEAST_RESERVED);
     let free = sockets.saturating_sub(reserved);
@@ -115,15 +115,15 @@
 
 /// The platform's address, and the state of the newest build.
 pub fn platform(root: &Value) -> Result<(SocketAddr, &Value), String> {
-    let told = Told(Told(root, "").need("platform")?, "platform.");
-    Ok((address(told.0, "", "address", "platform.")?, told.need("news")?))
+    let told = ConfigObject(ConfigObject(root, "").required("platform")?, "platform.");
+    Ok((address(told.0, "", "address", "platform.")?, told.required("news")?))
 }
 
 /// The node list as last held.
 pub fn known(root: &Value) -> Result<&Value, String> {
-    Told(root, "").need("known")
+    ConfigObject(root, "").required("known")
 }
 
 pub fn settings(root: &Value) -> Result<&Value, String> {
-    Told(root, "").need("settings")
+    ConfigObject(root, "").required("settings")
 }
--- a/crates/operator/src/sheet.rs
+++ b/crates/operator/src/ini_settings.rs
@@ -11,7 +11,7 @@
 
 /// One value as it is in force, for operators to look at.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct InForce {
+pub struct EffectiveSetting {
     pub section: String,
     pub key: String,
     pub value: String,
@@ -19,7 +19,7 @@
     pub line: Option<usize>,
 }
 
-pub struct Sheet {
+pub struct IniSettings {
     /// As it is named in messages.
     name: String,
     /// Section, key, value and line, in the file's order.
@@ -27,14 +27,14 @@
     /// Sections with their lines, also empty ones.
     sections: Vec<(String, usize)>,
     taken: Vec<bool>,
-    in_force: Vec<InForce>,
+    in_force: Vec<EffectiveSetting>,
 }
 
-impl Sheet {
+impl IniSettings {
     /// One that says nothing.
     pub fn empty() -> Self {
         let (name, rows, sections, taken, in_force) = Default::default();
-        Sheet { name, rows, sections, taken, in_force }
+        IniSettings { name, rows, sections, taken, in_force }
     }
 
     pub fn read(path: &Path) -> Result<Self, String> {
@@ -52,7 +52,7 @@
     /// Takes the text of a file that is called `name`.
     pub fn parse(name: &str, text: &str) -> Result<Self, String> {
         let ini = Ini::load_from_str(text).map_err(|e| format!("{name}: line {}: {}", e.line + 1, e.msg))?;
-        let mut sheet = Sheet { name: name.to_owned(), ..Sheet::empty() };
+        let mut sheet = IniSettings { name: name.to_owned(), ..IniSettings::empty() };
         for (section, rows) in ini.iter() {
             let section = section.unwrap_or_default();
             if !section.is_empty() || !rows.is_empty() {
@@ -61,7 +61,7 @@
             for (key, value) in rows.iter() {
                 let line = find_key(text, section, key);
                 if sheet.rows.iter().any(|r| (r.0.as_str(), r.1.as_str()) == (section, key)) {
-                    return Err(sheet.wrong(section, Some(key), "is set twice"));
+                    return Err(sheet.error_message(section, Some(key), "is set twice"));
                 }
                 sheet.rows.push((section.to_owned(), key.to_owned(), value.trim().to_owned(), line));
             }
@@ -71,7 +71,7 @@
     }
 
     /// A message that names file, line, section and key.
-    pub fn wrong(&self, section: &str, key: Option<&str>, why: &str) -> String {
+    pub fn error_message(&self, section: &str, key: Option<&str>, why: &str) -> String {
         let row = self.rows.iter().find(|r| r.0 == section && Some(r.1.as_str()) == key);
         let line = row.map(|r| r.3).or(self.sections.iter().find(|s| s.0 == section).map(|s| s.1));
         let line = line.filter(|l| *l > 0).map_or(String::new(), |line| format!(" line {line}:"));
@@ -86,7 +86,7 @@
     }
 
     /// The value of a key, or `default`; an error says what `read` found wrong with it.
-    pub fn take<T>(
+    pub fn take_value<T>(
         &mut self, section: &str, key: &str, default: T, read: impl Fn(&str) -> Result<T, String>,
         show: impl Fn(&T) -> String,
     ) -> Result<T, String> {
@@ -95,30 +95,34 @@
             Some(at) => {
                 self.taken[at] = true;
                 let (_, _, text, line) = &self.rows[at];
-                let value =
-                    read(text).map_err(|why| self.wrong(section, Some(key), &format!("= '{text}' {why}")))?;
+                let value = read(text)
+                    .map_err(|why| self.error_message(section, Some(key), &format!("= '{text}' {why}")))?;
                 (value, Some(*line))
             }
             None => (default, None),
         };
-        let row = InForce { section: section.into(), key: key.into(), value: show(&value), line };
+        let row = EffectiveSetting { section: section.into(), key: key.into(), value: show(&value), line };
         self.in_force.push(row);
         Ok(value)
     }
 
     /// All that was asked for is taken: what is left over is unknown.
-    pub fn finish(self) -> Result<Vec<InForce>, String> {
+    pub fn finish(self) -> Result<Vec<EffectiveSetting>, String> {
         let known = |section: &str| self.in_force.iter().any(|f| f.section == section);
         if let Some((section, _)) = self.sections.iter().find(|(section, _)| !known(section)) {
             let names: Vec<_> = self.in_force.iter().map(|f| f.section.as_str()).collect();
             let why = format!("is no section here{}", known_are(&names));
-            return Err(self.wrong(section, None, &why));
+            return Err(self.error_message(section, None, &why));
         }
         if let Some(at) = self.taken.iter().position(|taken| !taken) {
             let (section, key, ..) = &self.rows[at];
             let keys: Vec<_> =
                 self.in_force.iter().filter(|f| f.section == *section).map(|f| f.key.as_str()).collect();
-            return Err(self.wrong(section, Some(key), &format!("is no key here{}", known_are(&keys))));
+            return Err(self.error_message(
+                section,
+                Some(key),
+                &format!("is no key here{}", known_are(&keys)),
+            ));
         }
         Ok(self.in_force)
     }
@@ -152,7 +156,7 @@
 }
 
 /// A span such as `60s` or `250ms`; zero stands for never.
-pub fn span(text: &str) -> Result<Span, String> {
+pub fn parse_duration(text: &str) -> Result<Span, String> {
     if text == "0" || text == "never" {
         return Ok(Span::ZERO);
     }
@@ -166,12 +170,12 @@
 }
 
 /// A span as it would be written.
-pub fn shown(span: Span) -> String {
+pub fn format_duration(span: Span) -> String {
     humantime::format_duration(Duration::from_nanos(span.as_nanos())).to_string()
 }
 
 /// A part of a whole such as `25%`.
-pub fn part(text: &str) -> Result<f64, String> {
+pub fn parse_percentage(text: &str) -> Result<f64, String> {
     let number = text.strip_suffix('%').and_then(|t| t.trim().parse::<f64>().ok());
     let number = number.filter(|n| (0.0..=100.0).contains(n));
     number.map(|n| n / 100.0).ok_or_else(|| "is not a part such as 25%, from 0% to 100%".into())
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -1,16 +1,16 @@
 //! The operator's file, `deploy/operator.ini`: what operators set besides the platform's configuration. It is read as
 //! a whole or not at all; every value has a default, and an unknown section or key is an error.
 
-pub mod sheet;
+pub mod ini_settings;
 
-pub use sheet::{InForce, Sheet};
+pub use ini_settings::{EffectiveSetting, IniSettings};
 use std::path::Path;
 use stonescale::time::Span;
 use stonescale_budget::Shares;
 use stonescale_budget::plan::{PlanError, Share};
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Format {
+pub enum LogFormat {
     /// A line an event, for people: time, level, place, message, `key=value`.
     #[default]
     Text,
@@ -19,14 +19,14 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Log {
-    pub format: Format,
+pub struct LogSettings {
+    pub format: LogFormat,
     /// Events a second; what goes past it is counted and told with the next one. Errors always pass.
     pub lines_per_second: u32,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Memory {
+pub struct MemorySettings {
     /// How often what is held by purpose is reported; zero for only when asked (SIGUSR1).
     pub report_every: Span,
     pub shares: Shares,
@@ -34,42 +34,42 @@
 
 /// All that an operator sets.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Operator {
-    pub log: Log,
-    pub memory: Memory,
+pub struct OperatorSettings {
+    pub log: LogSettings,
+    pub memory: MemorySettings,
 }
 
-impl Default for Operator {
+impl Default for OperatorSettings {
     fn default() -> Self {
-        Operator {
+        OperatorSettings {
             // Some tens of lines tell what goes on; more of them only cost the core that hits need.
-            log: Log { format: Format::Text, lines_per_second: 40 },
-            memory: Memory { report_every: Span::millis(60_000), shares: Shares::default() },
+            log: LogSettings { format: LogFormat::Text, lines_per_second: 40 },
+            memory: MemorySettings { report_every: Span::millis(60_000), shares: Shares::default() },
         }
     }
 }
 
-impl Operator {
+impl OperatorSettings {
     /// Reads a file; without one all is as by default. Also says what is in force and where each value comes from.
-    pub fn read(file: Option<&Path>) -> Result<(Self, Vec<InForce>), String> {
+    pub fn read(file: Option<&Path>) -> Result<(Self, Vec<EffectiveSetting>), String> {
         match file {
-            Some(file) => Self::of(Sheet::read(file)?),
-            None => Self::of(Sheet::empty()),
+            Some(file) => Self::from_ini(IniSettings::read(file)?),
+            None => Self::from_ini(IniSettings::empty()),
         }
     }
 
     /// Takes what a sheet says.
-    pub fn of(mut sheet: Sheet) -> Result<(Self, Vec<InForce>), String> {
-        let Operator { log, memory } = Operator::default();
-        let log = Log {
-            format: sheet.take("log", "format", log.format, format, |f| {
+    pub fn from_ini(mut sheet: IniSettings) -> Result<(Self, Vec<EffectiveSetting>), String> {
+        let OperatorSettings { log, memory } = OperatorSettings::default();
+        let log = LogSettings {
+            format: sheet.take_value("log", "format", log.format, format, |f| {
                 match f {
-                    Format::Text => "text",
-                    Format::Json => "json",
+                    LogFormat::Text => "text",
+                    LogFormat::Json => "json",
                 }
                 .into()
             })?,
-            lines_per_second: sheet.take(
+            lines_per_second: sheet.take_value(
                 "log",
                 "lines_per_second",
                 log.lines_per_second,
@@ -77,17 +77,21 @@
                 u32::to_string,
             )?,
         };
-        let report_every =
-            sheet.take("memory", "report_every", memory.report_every, sheet::span, |span| {
-                sheet::shown(*span)
-            })?;
+        let report_every = sheet.take_value(
+            "memory",
+            "report_every",
+            memory.report_every,
+            ini_settings::parse_duration,
+            |span| ini_settings::format_duration(*span),
+        )?;
         let mut shares = memory.shares;
         for name in Shares::names() {
             let section = format!("memory.{name}");
             let Some(share) = shares.get(name) else { continue };
             let part = |x: &f64| format!("{:.0}%", x * 100.0);
-            let cap = sheet.take(&section, "cap", share.cap, sheet::part, part)?;
-            let reserve = sheet.take(&section, "reserve", share.reserve, sheet::part, part)?;
+            let cap = sheet.take_value(&section, "cap", share.cap, ini_settings::parse_percentage, part)?;
+            let reserve =
+                sheet.take_value(&section, "reserve", share.reserve, ini_settings::parse_percentage, part)?;
             shares.set(name, Share { cap, reserve });
         }
         shares.check().map_err(|wrong| {
@@ -99,17 +103,17 @@
                 }
                 _ => "memory".into(),
             };
-            sheet.wrong(&name, None, &wrong.to_string())
+            sheet.error_message(&name, None, &wrong.to_string())
         })?;
         let in_force = sheet.finish()?;
-        Ok((Operator { log, memory: Memory { report_every, shares } }, in_force))
+        Ok((OperatorSettings { log, memory: MemorySettings { report_every, shares } }, in_force))
     }
 }
 
-fn format(text: &str) -> Result<Format, String> {
+fn format(text: &str) -> Result<LogFormat, String> {
     match text {
-        "text" => Ok(Format::Text),
-        "json" => Ok(Format::Json),
+        "text" => Ok(LogFormat::Text),
+        "json" => Ok(LogFormat::Json),
         _ => Err("is neither 'text' nor 'json'".into()),
     }
 }
--- a/crates/operator/tests/files.rs
+++ b/crates/operator/tests/files.rs
@@ -1,19 +1,20 @@
-//! Operator's files, lawful and wrong.
+//! OperatorSettings's files, lawful and wrong.
 
 use proptest::prelude::*;
 use rstest::rstest;
 use stonescale::time::Span;
-use stonescale_operator::{Format, Operator, Sheet};
+use stonescale_operator::{IniSettings, LogFormat, OperatorSettings};
 
-fn read(text: &str) -> Result<Operator, String> {
-    Operator::of(Sheet::parse("op.ini", text)?).map(|(operator, _)| operator)
+fn read(text: &str) -> Result<OperatorSettings, String> {
+    OperatorSettings::from_ini(IniSettings::parse("op.ini", text)?).map(|(operator, _)| operator)
 }
 
 #[test]
 fn the_shipped_file_holds_the_defaults_and_names_them_all() {
     let text = include_str!("../../../deploy/operator.ini");
-    let (operator, in_force) = Operator::of(Sheet::parse("operator.ini", text).unwrap()).unwrap();
-    assert_eq!(operator, Operator::default());
+    let (operator, in_force) =
+        OperatorSettings::from_ini(IniSettings::parse("operator.ini", text).unwrap()).unwrap();
+    assert_eq!(operator, OperatorSettings::default());
     let left_out: Vec<_> = in_force.iter().filter(|f| f.line.is_none()).collect();
     assert!(left_out.is_empty(), "{left_out:?}");
 }
@@ -21,8 +22,9 @@
 #[test]
 fn what_is_set_is_in_force_with_its_line_and_the_rest_by_default() {
     let text = "[log]\nformat = json\n\n[memory]\n; often\nreport_every = 250ms\n[memory.owed]\ncap = 30%\n";
-    let (operator, in_force) = Operator::of(Sheet::parse("op.ini", text).unwrap()).unwrap();
-    assert_eq!((operator.log.format, operator.memory.report_every), (Format::Json, Span::millis(250)));
+    let (operator, in_force) =
+        OperatorSettings::from_ini(IniSettings::parse("op.ini", text).unwrap()).unwrap();
+    assert_eq!((operator.log.format, operator.memory.report_every), (LogFormat::Json, Span::millis(250)));
     let line = |section: &str, key: &str| {
         let row = in_force.iter().find(|f| f.section == section && f.key == key).unwrap();
         (row.value.clone(), row.line)
--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -81,8 +81,8 @@
                 let length = f.u32("params")? as usize;
                 let params = f.bytes("params", length)?;
                 reply.marshal = marshal;
-                let started =
-                    site::open(params, seed, now, reply).map_err(|e| format!("spawn: params: {e}"))?;
+                let started = site::start_marshal_from_json(params, seed, now, reply)
+                    .map_err(|e| format!("spawn: params: {e}"))?;
                 self.marshals.insert(marshal, started);
                 return Ok(());
             }
