--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -1,5 +1,6 @@
-//! The operator's file, `deploy/operator.ini`: what operators set besides the platform's configuration. It is read as
-//! a whole or not at all; every value has a default, and an unknown section or key is an error.
+//! The operator's settings file, `deploy/operator.ini`: settings that operators choose independently of the platform's
+//! configuration. The file is accepted as a whole or rejected; every key has a default, and an unknown section or key
+//! is an error.
 
 pub mod ini_settings;
 
@@ -11,28 +12,31 @@
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LogFormat {
-    /// A line an event, for people: time, level, place, message, `key=value`.
+    /// One line of text per event: time, level, module, message, `key=value`.
     #[default]
     Text,
-    /// A JSON object an event.
+    /// One JSON object per event.
     Json,
 }
 
+/// The section `[log]`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LogSettings {
     pub format: LogFormat,
-    /// Events a second; what goes past it is counted and told with the next one. Errors always pass.
+    /// Maximum number of events logged per second. Events beyond it are counted, and the count is logged with the
+    /// next event; errors are always logged.
     pub lines_per_second: u32,
 }
 
+/// The section `[memory]` and its subsections.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MemorySettings {
-    /// How often what is held by purpose is reported; zero for only when asked (SIGUSR1).
+    /// Interval of the report on memory use by purpose; zero to report only on request (SIGUSR1).
     pub report_every: Span,
     pub shares: Shares,
 }
 
-/// All that an operator sets.
+/// All settings of the operator's file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OperatorSettings {
     pub log: LogSettings,
@@ -42,7 +46,7 @@
 impl Default for OperatorSettings {
     fn default() -> Self {
         OperatorSettings {
-            // Some tens of lines tell what goes on; more of them only cost the core that hits need.
+            // A few dozen lines a second are enough to follow events; more would take processor time from hits.
             log: LogSettings { format: LogFormat::Text, lines_per_second: 40 },
             memory: MemorySettings { report_every: Span::millis(60_000), shares: Shares::default() },
         }
@@ -50,7 +54,8 @@
 }
 
 impl OperatorSettings {
-    /// Reads a file; without one all is as by default. Also says what is in force and where each value comes from.
+    /// Reads the settings from a file, or the defaults if there is none. Also returns each value in effect with its
+    /// origin. Errors name the file, line, section and key.
     pub fn read(file: Option<&Path>) -> Result<(Self, Vec<EffectiveSetting>), String> {
         match file {
             Some(file) => Self::from_ini(IniSettings::read(file)?),
@@ -58,26 +63,26 @@
         }
     }
 
-    /// Takes what a sheet says.
-    pub fn from_ini(mut sheet: IniSettings) -> Result<(Self, Vec<EffectiveSetting>), String> {
+    /// Converts and checks parsed INI settings; see [`OperatorSettings::read`].
+    pub fn from_ini(mut ini: IniSettings) -> Result<(Self, Vec<EffectiveSetting>), String> {
         let OperatorSettings { log, memory } = OperatorSettings::default();
         let log = LogSettings {
-            format: sheet.take_value("log", "format", log.format, format, |f| {
-                match f {
+            format: ini.take_value("log", "format", log.format, parse_log_format, |format| {
+                match format {
                     LogFormat::Text => "text",
                     LogFormat::Json => "json",
                 }
                 .into()
             })?,
-            lines_per_second: sheet.take_value(
+            lines_per_second: ini.take_value(
                 "log",
                 "lines_per_second",
                 log.lines_per_second,
-                lines,
+                parse_lines_per_second,
                 u32::to_string,
             )?,
         };
-        let report_every = sheet.take_value(
+        let report_every = ini.take_value(
             "memory",
             "report_every",
             memory.report_every,
@@ -88,14 +93,20 @@
         for name in Shares::names() {
             let section = format!("memory.{name}");
             let Some(share) = shares.get(name) else { continue };
-            let part = |x: &f64| format!("{:.0}%", x * 100.0);
-            let cap = sheet.take_value(&section, "cap", share.cap, ini_settings::parse_percentage, part)?;
-            let reserve =
-                sheet.take_value(&section, "reserve", share.reserve, ini_settings::parse_percentage, part)?;
+            let percentage = |fraction: &f64| format!("{:.0}%", fraction * 100.0);
+            let cap =
+                ini.take_value(&section, "cap", share.cap, ini_settings::parse_percentage, percentage)?;
+            let reserve = ini.take_value(
+                &section,
+                "reserve",
+                share.reserve,
+                ini_settings::parse_percentage,
+                percentage,
+            )?;
             shares.set(name, Share { cap, reserve });
         }
-        shares.check().map_err(|wrong| {
-            let name = match &wrong {
+        shares.check().map_err(|error| {
+            let section = match &error {
                 PlanError::NotAFraction(name)
                 | PlanError::ZeroCap(name)
                 | PlanError::ReserveAboveCap(name, _) => {
@@ -103,14 +114,14 @@
                 }
                 _ => "memory".into(),
             };
-            sheet.error_message(&name, None, &wrong.to_string())
+            ini.error_message(&section, None, &error.to_string())
         })?;
-        let in_force = sheet.finish()?;
-        Ok((OperatorSettings { log, memory: MemorySettings { report_every, shares } }, in_force))
+        let effective = ini.finish()?;
+        Ok((OperatorSettings { log, memory: MemorySettings { report_every, shares } }, effective))
     }
 }
 
-fn format(text: &str) -> Result<LogFormat, String> {
+fn parse_log_format(text: &str) -> Result<LogFormat, String> {
     match text {
         "text" => Ok(LogFormat::Text),
         "json" => Ok(LogFormat::Json),
@@ -118,7 +129,7 @@
     }
 }
 
-fn lines(text: &str) -> Result<u32, String> {
+fn parse_lines_per_second(text: &str) -> Result<u32, String> {
     let lines = text.parse().ok().filter(|n| (1..=100_000).contains(n));
     lines.ok_or_else(|| "is not a number of lines from 1 to 100000".into())
 }
