--- a/crates/simhost/src/frame.rs
+++ b/crates/simhost/src/frame.rs
@@ -1,52 +1,53 @@
-//! Frames as they come in: a header, then records of a code, a length and fields.
+//! Decoder of the simulator's batches: a header, then records, each with a code, a length and fields.
 
 use std::io::{ErrorKind, Read};
 use stonescale::time::Time;
 
-const HEADER: usize = 16;
-const RECORD: usize = 6;
-/// Longer frames than this are taken for garbage.
-const LONGEST: usize = 1 << 30;
+const HEADER_BYTES: usize = 16;
+const RECORD_HEADER_BYTES: usize = 6;
+/// A longer batch is rejected as corrupt.
+const MAX_BATCH_BYTES: usize = 1 << 30;
 
-/// Reads the next batch into `body`; none at a clean end of input.
+/// Reads the records of the next batch into `body` and returns their number and the simulated time; `None` if the
+/// input ends between two batches. Errors name the part of the batch that cannot be read.
 pub fn read_batch(input: &mut impl Read, body: &mut Vec<u8>) -> Result<Option<(u32, Time)>, String> {
-    let mut header = [0; HEADER];
-    let mut have = 0;
-    while have < HEADER {
-        match input.read(&mut header[have..]) {
-            Ok(0) if have == 0 => return Ok(None),
-            Ok(0) => return Err(format!("batch: header cut off after {have} of {HEADER} bytes")),
-            Ok(n) => have += n,
+    let mut header = [0; HEADER_BYTES];
+    let mut received = 0;
+    while received < HEADER_BYTES {
+        match input.read(&mut header[received..]) {
+            Ok(0) if received == 0 => return Ok(None),
+            Ok(0) => return Err(format!("batch: header cut off after {received} of {HEADER_BYTES} bytes")),
+            Ok(n) => received += n,
             Err(e) if e.kind() == ErrorKind::Interrupted => {}
             Err(e) => return Err(format!("batch: header: {e}")),
         }
     }
-    let mut f = Fields::new(&header);
-    f.named("batch");
-    let count = f.u32("record count")?;
-    let length = f.u32("length")? as usize;
-    let now = Time::at(f.u64("clock")?);
-    if !(HEADER..=LONGEST).contains(&length) {
-        return Err(format!("batch: length: {length} bytes can't be a whole frame"));
+    let mut fields = Fields::new(&header);
+    fields.set_record_name("batch");
+    let count = fields.u32("record count")?;
+    let length = fields.u32("length")? as usize;
+    let now = Time::at(fields.u64("clock")?);
+    if !(HEADER_BYTES..=MAX_BATCH_BYTES).contains(&length) {
+        return Err(format!("batch: length: {length} bytes is not a valid batch length"));
     }
     body.clear();
-    let wanted = (length - HEADER) as u64;
-    let got = input.take(wanted).read_to_end(body).map_err(|e| format!("batch: records: {e}"))? as u64;
-    if got < wanted {
-        return Err(format!("batch: records: cut off after {got} of {wanted} bytes"));
+    let expected = (length - HEADER_BYTES) as u64;
+    let received = input.take(expected).read_to_end(body).map_err(|e| format!("batch: records: {e}"))? as u64;
+    if received < expected {
+        return Err(format!("batch: records: cut off after {received} of {expected} bytes"));
     }
     Ok(Some((count, now)))
 }
 
-/// Walks the records of a batch.
+/// Iterator over the records of a batch, as code and fields. It ends after the first malformed record.
 pub struct Batch<'a> {
-    left: u32,
+    remaining: u32,
     rest: &'a [u8],
 }
 
 impl<'a> Batch<'a> {
     pub fn new(count: u32, rest: &'a [u8]) -> Self {
-        Batch { left: count, rest }
+        Batch { remaining: count, rest }
     }
 }
 
@@ -54,46 +55,51 @@
     type Item = Result<(u16, Fields<'a>), String>;
 
     fn next(&mut self) -> Option<Self::Item> {
-        self.left = self.left.checked_sub(1)?;
-        let mut head = Fields::new(self.rest);
-        head.named("record");
+        self.remaining = self.remaining.checked_sub(1)?;
+        let mut header = Fields::new(self.rest);
+        header.set_record_name("record");
         let mut read = || {
-            let code = head.u16("code")?;
-            let length = head.u32("length")? as usize;
-            let fields = head.bytes("fields", length)?;
+            let code = header.u16("code")?;
+            let length = header.u32("length")? as usize;
+            let fields = header.bytes("fields", length)?;
             Ok((code, fields))
         };
         Some(match read() {
             Ok((code, fields)) => {
-                self.rest = &self.rest[RECORD + fields.len()..];
+                self.rest = &self.rest[RECORD_HEADER_BYTES + fields.len()..];
                 Ok((code, Fields::new(fields)))
             }
-            Err(why) => {
-                self.left = 0;
-                Err(why)
+            Err(error) => {
+                self.remaining = 0;
+                Err(error)
             }
         })
     }
 }
 
-/// Reads the fields of one record in order. Bytes past those read are skipped with the record.
+/// Reads the fields of one record in order; numbers are little-endian. Bytes after the last field read are skipped, so
+/// that records may grow. Errors name the record and the field.
 pub struct Fields<'a> {
-    pub record: &'static str,
+    pub record_name: &'static str,
     rest: &'a [u8],
 }
 
 impl<'a> Fields<'a> {
     pub fn new(rest: &'a [u8]) -> Self {
-        Fields { record: "record", rest }
+        Fields { record_name: "record", rest }
     }
 
-    pub fn named(&mut self, record: &'static str) {
-        self.record = record;
+    pub fn set_record_name(&mut self, record_name: &'static str) {
+        self.record_name = record_name;
     }
 
-    pub fn bytes(&mut self, field: &str, n: usize) -> Result<&'a [u8], String> {
-        let (taken, rest) = self.rest.split_at_checked(n).ok_or_else(|| {
-            format!("{}: {field}: needs {n} bytes, the record has {} left", self.record, self.rest.len())
+    pub fn bytes(&mut self, field: &str, length: usize) -> Result<&'a [u8], String> {
+        let (taken, rest) = self.rest.split_at_checked(length).ok_or_else(|| {
+            format!(
+                "{}: {field}: needs {length} bytes, the record has {} left",
+                self.record_name,
+                self.rest.len()
+            )
         })?;
         self.rest = rest;
         Ok(taken)
@@ -125,7 +131,7 @@
         self.array(field).map(f32::from_le_bytes)
     }
 
-    /// Four bytes of address and a port, kept as one number in the wire's order.
+    /// Reads a node id: four bytes of address and two of port, taken as one little-endian number.
     pub fn node(&mut self, field: &str) -> Result<u64, String> {
         let [a, b, c, d, e, f] = self.array(field)?;
         Ok(u64::from_le_bytes([a, b, c, d, e, f, 0, 0]))
--- a/crates/simhost/tests/wire.rs
+++ b/crates/simhost/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The framing: the wire page's layout, records to skip, and what is malformed.
+//! The simulator's wire format: layout of batches and replies, records that are skipped, and errors for malformed input.
 
 use rstest::rstest;
 use std::io::Write;
@@ -20,32 +20,32 @@
 fn batch(records: &[Vec<u8>]) -> Vec<u8> {
     let body = records.concat();
     let length = (16 + body.len()) as u32;
-    let head = [(records.len() as u32).to_le_bytes(), length.to_le_bytes()].concat();
-    [head, 9_000_000_000u64.to_le_bytes().to_vec(), body].concat()
+    let header = [(records.len() as u32).to_le_bytes(), length.to_le_bytes()].concat();
+    [header, 9_000_000_000u64.to_le_bytes().to_vec(), body].concat()
 }
 
-const ME: [u8; 4] = [3, 0, 0, 0];
+const MARSHAL_ID: [u8; 4] = [3, 0, 0, 0];
 const NODE: [u8; 6] = [10, 18, 74, 7, 0x93, 0x1f];
 
 fn spawn(settings: &str) -> Vec<u8> {
     let length = (settings.len() as u32).to_le_bytes();
-    record(1050, &[&ME, &[1; 8], &length, settings.as_bytes()])
+    record(1050, &[&MARSHAL_ID, &[1; 8], &length, settings.as_bytes()])
 }
 
 fn directory() -> Vec<u8> {
-    let place = [0u8, 0, 0, 0, 0, 1];
-    let numbers = [1.0f32.to_le_bytes(), 42.0f32.to_le_bytes()].concat();
-    record(1120, &[&[0], &1u32.to_le_bytes(), &NODE, &place, &numbers, &[0; 8]])
+    let attributes = [0u8, 0, 0, 0, 0, 1];
+    let weight_and_build = [1.0f32.to_le_bytes(), 42.0f32.to_le_bytes()].concat();
+    record(1120, &[&[0], &1u32.to_le_bytes(), &NODE, &attributes, &weight_and_build, &[0; 8]])
 }
 
 fn sync() -> Vec<u8> {
-    record(1040, &[&ME, &[2], &[1; 8], &[0]])
+    record(1040, &[&MARSHAL_ID, &[2], &[1; 8], &[0]])
 }
 
 fn ingress() -> Vec<u8> {
     let (id, tenant, key) = (7u32.to_le_bytes(), [0; 4], [0; 8]);
-    let (grace, hint) = (900_000_000u64.to_le_bytes(), [0; 8]);
-    record(1070, &[&ME, &id, &[0], &tenant, &key, &grace, &hint, &[0, 0], b"longer than today"])
+    let (grace, work_hint) = (900_000_000u64.to_le_bytes(), [0; 8]);
+    record(1070, &[&MARSHAL_ID, &id, &[0], &tenant, &key, &grace, &work_hint, &[0, 0], b"longer than today"])
 }
 
 fn run(input: &[u8]) -> Output {
@@ -54,22 +54,22 @@
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("the adapter starts");
-    // An adapter that has given up closes its input early.
-    let _ = child.stdin.take().expect("piped").write_all(input);
-    child.wait_with_output().expect("the adapter ends")
+        .expect("failed to start the adapter");
+    // Ignores write errors: the adapter exits on malformed input and closes its end of the pipe.
+    let _ = child.stdin.take().expect("stdin is piped").write_all(input);
+    child.wait_with_output().expect("failed to wait for the adapter")
 }
 
-/// Codes of the records in a run's replies.
-fn codes(mut replies: &[u8]) -> Vec<Vec<u16>> {
-    let word = |b: &[u8]| u32::from_le_bytes([b[0], b[1], b[2], b[3]]) as usize;
+/// Record codes of each reply in the adapter's output.
+fn reply_codes(mut replies: &[u8]) -> Vec<Vec<u16>> {
+    let read_u32 = |bytes: &[u8]| u32::from_le_bytes([bytes[0], bytes[1], bytes[2], bytes[3]]) as usize;
     let mut all = Vec::new();
     while !replies.is_empty() {
-        let (reply, rest) = replies.split_at(word(replies));
-        let (count, mut records, mut codes) = (word(&reply[4..]), &reply[8..], Vec::new());
+        let (reply, rest) = replies.split_at(read_u32(replies));
+        let (count, mut records, mut codes) = (read_u32(&reply[4..]), &reply[8..], Vec::new());
         while !records.is_empty() {
             codes.push(u16::from_le_bytes([records[0], records[1]]));
-            records = &records[6 + word(&records[2..])..];
+            records = &records[6 + read_u32(&records[2..])..];
         }
         assert_eq!(codes.len(), count);
         all.push(codes);
@@ -79,47 +79,52 @@
 }
 
 #[rstest]
-fn the_pages_empty_batch_gets_its_reply() {
-    let out = run(&batch(&[]));
-    assert!(out.status.success());
-    assert_eq!(out.stdout, [8, 0, 0, 0, 0, 0, 0, 0]);
+fn empty_batch_gets_an_empty_reply() {
+    let output = run(&batch(&[]));
+    assert!(output.status.success());
+    assert_eq!(output.stdout, [8, 0, 0, 0, 0, 0, 0, 0]);
 }
 
+/// Guards the byte layout of a forward, and that records of unknown codes and trailing bytes of known ones are skipped.
+/// A marshal that is started again after its exit makes the same first calls.
 #[rstest]
-fn a_hit_is_forwarded_as_the_page_lays_it_out() {
-    let strange = record(4711, &[b"from a later version"]);
-    let out = run(&[
+fn hit_is_forwarded_in_the_documented_layout() {
+    let unknown_record = record(4711, &[b"from a later version"]);
+    let output = run(&[
         batch(&[spawn(SETTINGS), directory(), sync()]),
-        batch(&[strange, ingress()]),
-        batch(&[record(1000, &[&ME]), spawn(SETTINGS), sync()]),
+        batch(&[unknown_record, ingress()]),
+        batch(&[record(1000, &[&MARSHAL_ID]), spawn(SETTINGS), sync()]),
     ]
     .concat());
-    assert!(out.status.success(), "{}", String::from_utf8_lossy(&out.stderr));
-    assert_eq!(codes(&out.stdout), [vec![1100, 1040], vec![1040, 1000], vec![1100, 1040]]);
-    let sent: Vec<u8> =
-        [&1000u16.to_le_bytes()[..], &22u32.to_le_bytes(), &ME, &[7, 0, 0, 0], &NODE].concat();
-    assert!(out.stdout.windows(sent.len()).any(|w| w == sent));
+    assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
+    assert_eq!(reply_codes(&output.stdout), [vec![1100, 1040], vec![1040, 1000], vec![1100, 1040]]);
+    let expected: Vec<u8> =
+        [&1000u16.to_le_bytes()[..], &22u32.to_le_bytes(), &MARSHAL_ID, &[7, 0, 0, 0], &NODE].concat();
+    assert!(output.stdout.windows(expected.len()).any(|window| window == expected));
 }
 
 #[rstest]
-#[case::frame(batch(&[spawn(SETTINGS)])[..40].to_vec(), "batch: records: cut off")]
-#[case::header(vec![1, 0, 0], "batch: header cut off")]
-#[case::length([0u8; 16].to_vec(), "batch: length")]
-#[case::record(batch(&[record(1050, &[&ME, &[1; 3]])]), "spawn: seed: needs 8 bytes")]
-#[case::overrun(batch(&[vec![0xe8, 3, 200, 0, 0, 0]]), "record: fields: needs 200 bytes")]
-#[case::json(batch(&[spawn("{\"azs\": ")]), "spawn: params: not JSON")]
-#[case::key(batch(&[spawn(&SETTINGS.replace("cold_from", "cold"))]), "rules.cold_from is missing")]
-#[case::kind(batch(&[spawn(&SETTINGS.replace("\"fragile\"", "3"))]), "classes[0].effect is not a text")]
-fn what_is_malformed_is_named_in_one_line(#[case] input: Vec<u8>, #[case] named: &str) {
-    let out = run(&input);
-    let told = String::from_utf8_lossy(&out.stderr).into_owned();
-    assert!(!out.status.success() && told.contains(named) && told.lines().count() == 1, "{told}");
+#[case::truncated_batch(batch(&[spawn(SETTINGS)])[..40].to_vec(), "batch: records: cut off")]
+#[case::truncated_header(vec![1, 0, 0], "batch: header cut off")]
+#[case::invalid_length([0u8; 16].to_vec(), "batch: length")]
+#[case::truncated_record(batch(&[record(1050, &[&MARSHAL_ID, &[1; 3]])]), "spawn: seed: needs 8 bytes")]
+#[case::record_past_the_batch(batch(&[vec![0xe8, 3, 200, 0, 0, 0]]), "record: fields: needs 200 bytes")]
+#[case::params_not_json(batch(&[spawn("{\"azs\": ")]), "spawn: params: not JSON")]
+#[case::missing_key(batch(&[spawn(&SETTINGS.replace("cold_from", "cold"))]), "rules.cold_from is missing")]
+#[case::wrong_type(batch(&[spawn(&SETTINGS.replace("\"fragile\"", "3"))]), "classes[0].effect is not a text")]
+fn malformed_input_is_reported_in_one_line(#[case] input: Vec<u8>, #[case] expected: &str) {
+    let output = run(&input);
+    let message = String::from_utf8_lossy(&output.stderr).into_owned();
+    assert!(
+        !output.status.success() && message.contains(expected) && message.lines().count() == 1,
+        "{message}"
+    );
 }
 
 #[rstest]
-fn events_for_an_unknown_instance_are_ignored_with_a_line() {
-    let out = run(&batch(&[ingress()]));
-    assert!(out.status.success());
-    assert!(String::from_utf8_lossy(&out.stderr).contains("ingress: marshal: no instance 3"));
-    assert_eq!(codes(&out.stdout), [Vec::<u16>::new()]);
+fn record_for_an_unknown_instance_is_skipped_with_a_message() {
+    let output = run(&batch(&[ingress()]));
+    assert!(output.status.success());
+    assert!(String::from_utf8_lossy(&output.stderr).contains("ingress: marshal: no instance 3"));
+    assert_eq!(reply_codes(&output.stdout), [Vec::<u16>::new()]);
 }
