--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -10,6 +10,7 @@
 use stonescale_budget::Shares;
 use stonescale_budget::plan::{PlanError, Share};
 
+/// Format of the log's lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LogFormat {
     /// One line of text per event: time, level, module, message, `key=value`.
@@ -33,6 +34,7 @@
 pub struct MemorySettings {
     /// Interval of the report on memory use by purpose; zero to report only on request (SIGUSR1).
     pub report_every: Span,
+    /// Cap and reserve of each purpose, as fractions of the memory that connections leave over.
     pub shares: Shares,
 }
 
--- a/crates/simhost/tests/wire.rs
+++ b/crates/simhost/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The simulator's wire format: layout of batches and replies, records that are skipped, and errors for malformed input.
+//! The simulator's wire format: layout of batches and replies, skipped records, and errors for malformed input.
 
 use rstest::rstest;
 use std::io::Write;
--- a/crates/site/src/lib.rs
+++ b/crates/site/src/lib.rs
@@ -20,6 +20,7 @@
         self.0.get(key).filter(|value| !value.is_null())
     }
 
+    /// The value of a required key; an error if it is absent or null.
     pub fn required(&self, key: &str) -> Result<&'a Value, String> {
         self.optional(key).ok_or_else(|| format!("{}{key} is missing", self.1))
     }
@@ -28,6 +29,7 @@
         format!("{}{key} is not {expected}", self.1)
     }
 
+    /// A required number.
     pub fn number(&self, key: &str) -> Result<f64, String> {
         self.required(key)?.as_f64().ok_or_else(|| self.type_error(key, "a number"))
     }
@@ -49,10 +51,12 @@
             .map_or(Ok(false), |value| value.as_bool().ok_or_else(|| self.type_error(key, "true or false")))
     }
 
+    /// A required string.
     pub fn string(&self, key: &str) -> Result<&'a str, String> {
         self.required(key)?.as_str().ok_or_else(|| self.type_error(key, "a text"))
     }
 
+    /// A required array.
     fn list(&self, key: &str) -> Result<&'a [Value], String> {
         self.required(key)?.as_array().map(Vec::as_slice).ok_or_else(|| self.type_error(key, "a list"))
     }
