--- a/crates/lab/src/soak.rs
+++ b/crates/lab/src/soak.rs
@@ -18,7 +18,7 @@
 use std::path::Path;
 use std::time::Duration;
 use stonescale::time::Span;
-use stonescale_operator::{Sheet, sheet};
+use stonescale_operator::{IniSettings, ini_settings};
 
 const MIB: f64 = 1024.0 * 1024.0;
 /// Interval at which the run applies troubles, advances a release and reads the marshal's log.
@@ -87,73 +87,103 @@
 impl Scenario {
     /// Reads a scenario file.
     pub fn read(path: &Path) -> Result<Self, String> {
-        Self::from_settings(Sheet::read(path)?)
+        Self::from_settings(IniSettings::read(path)?)
     }
 
     /// Takes a scenario from parsed settings; a wrong value or an unknown key is an error that names its line.
-    pub fn from_settings(mut sheet: Sheet) -> Result<Self, String> {
-        let take_duration = |sheet: &mut Sheet, key, default| {
-            sheet.take("soak", key, default, sheet::span, |s| sheet::shown(*s)).map(to_duration)
+    pub fn from_settings(mut sheet: IniSettings) -> Result<Self, String> {
+        let take_duration = |sheet: &mut IniSettings, key, default| {
+            sheet
+                .take_value("soak", key, default, ini_settings::parse_duration, |s| {
+                    ini_settings::format_duration(*s)
+                })
+                .map(to_duration)
         };
         let phase_length = take_duration(&mut sheet, "phase", Span::millis(4_000))?;
         let sample_interval = take_duration(&mut sheet, "sample", Span::millis(500))?;
         let keepalive = take_duration(&mut sheet, "keepalive", Span::millis(3_000))?;
         if phase_length.is_zero() || sample_interval.is_zero() {
-            return Err(sheet.wrong("soak", Some("phase"), "and sample must be greater than zero"));
+            return Err(sheet.error_message("soak", Some("phase"), "and sample must be greater than zero"));
         }
         let scenario = Scenario {
             phase_length,
             sample_interval,
             keepalive,
-            seed: sheet.take("soak", "seed", 1, parse_number(0, u64::MAX), u64::to_string)?,
-            nodes: sheet.take("soak", "nodes", 6, parse_number(1, 200), usize::to_string)?,
+            seed: sheet.take_value("soak", "seed", 1, parse_number(0, u64::MAX), u64::to_string)?,
+            nodes: sheet.take_value("soak", "nodes", 6, parse_number(1, 200), usize::to_string)?,
             limits: Limits {
-                memory_mb: sheet.take("soak", "memory_mb", 32, parse_number(1, 65_536), usize::to_string)?,
-                sockets: sheet.take("soak", "sockets", 512, parse_number(32, 65_536), usize::to_string)?,
+                memory_mb: sheet.take_value(
+                    "soak",
+                    "memory_mb",
+                    32,
+                    parse_number(1, 65_536),
+                    usize::to_string,
+                )?,
+                sockets: sheet.take_value(
+                    "soak",
+                    "sockets",
+                    512,
+                    parse_number(32, 65_536),
+                    usize::to_string,
+                )?,
             },
-            hits_per_second: sheet.take(
+            hits_per_second: sheet.take_value(
                 "soak",
                 "rate",
                 200.0,
                 parse_number(1.0, 100_000.0),
                 f64::to_string,
             )?,
-            rogues_per_trouble: sheet.take(
+            rogues_per_trouble: sheet.take_value(
                 "soak",
                 "rogues",
                 40,
                 parse_number(1, 10_000),
                 usize::to_string,
             )?,
-            cycles: sheet.take("soak", "cycles", 2, parse_number(1, 10_000), usize::to_string)?,
-            warm_up_cycles: sheet.take("soak", "warm_up", 1, parse_number(0, 10_000), usize::to_string)?,
-            troubles: sheet.take("soak", "troubles", faults::ALL.to_vec(), parse_troubles, |troubles| {
-                troubles.iter().map(|t| t.name()).collect::<Vec<_>>().join(", ")
-            })?,
-            max_purpose_slope: sheet.take(
+            cycles: sheet.take_value("soak", "cycles", 2, parse_number(1, 10_000), usize::to_string)?,
+            warm_up_cycles: sheet.take_value(
+                "soak",
+                "warm_up",
+                1,
+                parse_number(0, 10_000),
+                usize::to_string,
+            )?,
+            troubles: sheet.take_value(
+                "soak",
+                "troubles",
+                faults::ALL.to_vec(),
+                parse_troubles,
+                |troubles| troubles.iter().map(|t| t.name()).collect::<Vec<_>>().join(", "),
+            )?,
+            max_purpose_slope: sheet.take_value(
                 "tolerance",
                 "purposes",
                 500.0,
                 parse_number(0.0, 1e9),
                 f64::to_string,
             )?,
-            max_resident_slope: sheet.take(
+            max_resident_slope: sheet.take_value(
                 "tolerance",
                 "resident",
                 4_000.0,
                 parse_number(0.0, 1e9),
                 f64::to_string,
             )?,
-            max_descriptor_slope: sheet.take(
+            max_descriptor_slope: sheet.take_value(
                 "tolerance",
                 "descriptors",
                 0.2,
                 parse_number(0.0, 1e9),
                 f64::to_string,
             )?,
-            max_unaccounted_share: sheet.take("tolerance", "unaccounted", 0.15, sheet::part, |share| {
-                format!("{:.0}%", share * 100.0)
-            })?,
+            max_unaccounted_share: sheet.take_value(
+                "tolerance",
+                "unaccounted",
+                0.15,
+                ini_settings::parse_percentage,
+                |share| format!("{:.0}%", share * 100.0),
+            )?,
         };
         sheet.finish()?;
         Ok(scenario)
@@ -226,7 +256,7 @@
     mut on_progress: impl FnMut(Duration, Duration, Fault),
 ) -> Result<Report, String> {
     let operator_file = unique_temp_path("ini");
-    let report_every = sheet::shown(Span::nanos(scenario.sample_interval.as_nanos() as u64));
+    let report_every = ini_settings::format_duration(Span::nanos(scenario.sample_interval.as_nanos() as u64));
     let text =
         format!("[log]\nformat = json\nlines_per_second = 10000\n[memory]\nreport_every = {report_every}\n");
     std::fs::write(&operator_file, text).map_err(|e| format!("{}: {e}", operator_file.display()))?;
--- a/crates/lab/tests/books.rs
+++ b/crates/lab/tests/books.rs
@@ -11,7 +11,7 @@
 use stonescale_lab::release::{Action, Release, ReleasePlan};
 use stonescale_lab::soak::Scenario;
 use stonescale_lab::trend::Trend;
-use stonescale_operator::Sheet;
+use stonescale_operator::IniSettings;
 
 fn at(ms: u64) -> Time {
     Time::at((1_000_000 + ms) * 1_000_000)
@@ -215,7 +215,7 @@
 #[case("[soak]\nphases = 3", "[soak] phases is no key here")]
 #[case("[tolerance]\nunaccounted = 15", "is not a part such as 25%")]
 fn invalid_scenario_is_rejected_with_a_one_line_error(#[case] text: &str, #[case] reason: &str) {
-    let error = Sheet::parse("s.ini", text).and_then(Scenario::from_settings).unwrap_err();
+    let error = IniSettings::parse("s.ini", text).and_then(Scenario::from_settings).unwrap_err();
     assert!(error.contains(reason) && error.lines().count() == 1, "{error}");
 }
 
@@ -223,5 +223,5 @@
 #[case(include_str!("../../../deploy/soak-short.ini"))]
 #[case(include_str!("../../../deploy/soak-long.ini"))]
 fn shipped_scenarios_are_valid(#[case] text: &str) {
-    Sheet::parse("s.ini", text).and_then(Scenario::from_settings).unwrap();
+    IniSettings::parse("s.ini", text).and_then(Scenario::from_settings).unwrap();
 }
