--- a/crates/marshal/src/allocator.rs
+++ b/crates/marshal/src/allocator.rs
@@ -17,7 +17,7 @@
 
 /// Starts the program again with these settings, unless the environment holds any of them already: who set one may set
 /// them all. Where that can't be done, all goes on as it is.
-pub fn settle() {
+pub fn apply_settings() {
     if SETTINGS.iter().any(|(name, _)| std::env::var_os(name).is_some()) {
         return;
     }
--- a/crates/marshal/src/clients.rs
+++ b/crates/marshal/src/clients.rs
@@ -109,7 +109,7 @@
             let stream = match taken.and_then(Async::new) {
                 Ok(stream) => stream,
                 Err(e) if e.kind() == ErrorKind::WouldBlock => {
-                    listener.drained();
+                    listener.clear_readable();
                     listener.readable().await;
                     continue;
                 }
@@ -163,7 +163,7 @@
             }
         }
         #[cfg(feature = "mutants")]
-        crate::mutants::connection(stream.clone());
+        crate::mutants::leak_on_connection(stream.clone());
         let unanswered = client.leaves();
         drop(stream);
         if !unanswered.is_empty() {
--- a/crates/marshal/src/core.rs
+++ b/crates/marshal/src/core.rs
@@ -314,8 +314,8 @@
                 None => warn!("a complaint about an unknown node is skipped"),
             },
             News::Moved(discovery, platform) => {
-                discovery.into_iter().for_each(|addr| self.doors.discovery.at(addr));
-                platform.into_iter().for_each(|addr| self.doors.platform.at(addr));
+                discovery.into_iter().for_each(|addr| self.doors.discovery.set_address(addr));
+                platform.into_iter().for_each(|addr| self.doors.platform.set_address(addr));
             }
             News::Sums(build, group, n, failed) => {
                 self.marshal.on_platform_counts(now, (build, group), (n, failed))
@@ -359,7 +359,7 @@
             return;
         }
         #[cfg(feature = "mutants")]
-        crate::mutants::hit();
+        crate::mutants::leak_on_hit();
         let now = self.doors.now;
         self.doors.taken += 1;
         let (group, tenant, key) = (command.ask.group, command.ask.tenant, command.ask.key);
--- a/crates/marshal/src/discovery.rs
+++ b/crates/marshal/src/discovery.rs
@@ -32,7 +32,7 @@
 
 pub struct Discovery {
     addr: Cell<SocketAddr>,
-    places: Rc<Places>,
+    places: Rc<LocalityNames>,
     inbox: Rc<Inbox>,
     tasks: Rc<LocalExecutor<'static>>,
     /// Version of the list held.
@@ -47,14 +47,14 @@
 }
 
 /// The names of zones and kinds, to read entries by.
-pub struct Places {
+pub struct LocalityNames {
     pub zones: Vec<String>,
     pub kinds: Vec<String>,
 }
 
-impl Places {
-    pub fn of(names: &Names) -> Self {
-        Places { zones: names.zones.clone(), kinds: names.kinds.clone() }
+impl LocalityNames {
+    pub fn new(names: &Names) -> Self {
+        LocalityNames { zones: names.zones.clone(), kinds: names.kinds.clone() }
     }
 
     /// One entry; an error says what is wrong with it.
@@ -82,7 +82,7 @@
 
     /// Version, whether it is the whole list, and the entries of one list object. It is true as a whole or not at
     /// all: with an entry passed over, a drain could be missed for ever.
-    pub fn list(&self, told: List) -> Result<(u64, bool, Vec<Entry>), String> {
+    pub fn parse_list(&self, told: List) -> Result<(u64, bool, Vec<Entry>), String> {
         let entries: Result<Vec<_>, _> = told.servers.iter().map(|server| self.entry(server)).collect();
         Ok((told.version, told.full, entries?))
     }
@@ -118,7 +118,7 @@
 
 impl Discovery {
     pub fn new(
-        addr: SocketAddr, places: Rc<Places>, inbox: Rc<Inbox>, tasks: Rc<LocalExecutor<'static>>,
+        addr: SocketAddr, places: Rc<LocalityNames>, inbox: Rc<Inbox>, tasks: Rc<LocalExecutor<'static>>,
         version: Option<u64>, ledger: Ledger,
     ) -> Self {
         let version = Rc::new(Cell::new(version));
@@ -129,7 +129,7 @@
 
     /// From now on discovery is at `addr`. The watch that stands goes on until something comes from there, so
     /// that no drain falls into a gap.
-    pub fn at(&self, addr: SocketAddr) {
+    pub fn set_address(&self, addr: SocketAddr) {
         self.addr.set(addr);
         if let Some(watch) = self.watch.take() {
             // Of several moves in a row, the oldest watch is the one that stands for sure.
@@ -168,7 +168,7 @@
     addr: SocketAddr,
     path: String,
     number: u64,
-    places: Rc<Places>,
+    places: Rc<LocalityNames>,
     inbox: Rc<Inbox>,
     version: Rc<Cell<Option<u64>>>,
     before: Rc<RefCell<Option<Task<()>>>>,
@@ -257,7 +257,7 @@
         let charge = self.ledger.charge(Purpose::Discovery, line.len() * ENTRIES);
         let charge = charge.map_err(|_| "there is no room for the entries of the list")?;
         let told: List = serde_json::from_slice(line).map_err(|e| format!("a line can't be read: {e}"))?;
-        let (version, full, entries) = self.places.list(told)?;
+        let (version, full, entries) = self.places.parse_list(told)?;
         if !full && self.version.get().is_some_and(|held| version < held) {
             // It can't be put on top of what is held; the next call is for the whole list.
             self.version.set(None);
@@ -283,12 +283,12 @@
     #[test]
     fn a_zone_past_those_that_are_told_apart_is_like_one_of_no_known_name() {
         let zones = (0..300).map(|n| format!("z{n}")).collect();
-        let places = Places { zones, kinds: vec!["m".into()] };
+        let places = LocalityNames { zones, kinds: vec!["m".into()] };
         let zone = |name: &str| {
             let line = format!(
                 r#"{{"version":1,"full":true,"servers":[{{"id":"s","addr":"127.0.0.1:1","zone":"{name}","kind":"m","state":"up","image_id":1}}]}}"#
             );
-            let (_, _, entries) = places.list(serde_json::from_str(&line).unwrap()).unwrap();
+            let (_, _, entries) = places.parse_list(serde_json::from_str(&line).unwrap()).unwrap();
             entries[0].2.zone
         };
         assert_eq!(["z0", "z254", "z256", "z299", "none"].map(zone), [0, 254, u8::MAX, u8::MAX, u8::MAX]);
--- a/crates/marshal/src/logger.rs
+++ b/crates/marshal/src/logger.rs
@@ -23,20 +23,20 @@
 const ENTRY: usize = 64;
 
 /// Kept until the program ends: dropped, it writes what waits.
-pub struct Log {
+pub struct LogHandle {
     _guard: WorkerGuard,
     lines: Arc<AtomicU32>,
     waiting: Arc<AtomicUsize>,
 }
 
-impl Log {
+impl LogHandle {
     /// So many lines a second from now on.
-    pub fn lines(&self, lines: u32) {
+    pub fn set_lines_per_second(&self, lines: u32) {
         self.lines.store(lines, Ordering::Relaxed);
     }
 
     /// Bytes that wait to be written.
-    pub fn waiting(&self) -> usize {
+    pub fn queued_bytes(&self) -> usize {
         self.waiting.load(Ordering::Relaxed)
     }
 }
@@ -61,7 +61,7 @@
 }
 
 /// Starts the log; `memory` bytes at most wait to be written.
-pub fn start(level: LevelFilter, format: Format, lines: u32, memory: usize) -> Log {
+pub fn start(level: LevelFilter, format: Format, lines: u32, memory: usize) -> LogHandle {
     let (bounded, log) = bounded(io::stderr(), format, lines, memory);
     let builder = tracing_subscriber::fmt().with_max_level(level).with_writer(bounded);
     // Only a second start in one process could fail, and there is none.
@@ -74,7 +74,9 @@
     log
 }
 
-fn bounded(out: impl Write + Send + 'static, format: Format, lines: u32, memory: usize) -> (Bounded, Log) {
+fn bounded(
+    out: impl Write + Send + 'static, format: Format, lines: u32, memory: usize,
+) -> (Bounded, LogHandle) {
     let (memory, waiting) = (memory.min(MOST), Arc::new(AtomicUsize::new(0)));
     let counted = Counted { out, waiting: waiting.clone() };
     // The bytes are the bound: so many lines never come to wait, and none is lost uncounted.
@@ -84,7 +86,7 @@
     let second = Arc::new(Mutex::new(Second { start: Instant::now(), lines: 0, left_out: 0 }));
     let json = format == Format::Json;
     let bounded = Bounded { out, lines: lines.clone(), second, json, memory, waiting: waiting.clone() };
-    (bounded, Log { _guard: guard, lines, waiting })
+    (bounded, LogHandle { _guard: guard, lines, waiting })
 }
 
 struct Unix;
@@ -217,13 +219,13 @@
         let line = "x".repeat(99) + "\n";
         for _ in 0..1_000 {
             bounded.make_writer().write_all(line.as_bytes()).unwrap();
-            assert!(log.waiting() <= MEMORY, "{}", log.waiting());
+            assert!(log.queued_bytes() <= MEMORY, "{}", log.queued_bytes());
         }
-        let whole = log.waiting() / (line.len() + ENTRY);
+        let whole = log.queued_bytes() / (line.len() + ENTRY);
         drop(let_through);
         (0..whole).for_each(|_| assert_eq!(written.recv().unwrap(), line));
         // The thread counts a line as written right after it wrote it.
-        while log.waiting() > 0 {
+        while log.queued_bytes() > 0 {
             std::thread::yield_now();
         }
         bounded.make_writer().write_all(line.as_bytes()).unwrap();
--- a/crates/marshal/src/main.rs
+++ b/crates/marshal/src/main.rs
@@ -76,7 +76,7 @@
 fn run(command: Command) -> Result<(), String> {
     match command {
         Command::Serve(files) => {
-            allocator::settle();
+            allocator::apply_settings();
             serve::serve(files)
         }
         Command::Check(files) => {
--- a/crates/marshal/src/memory.rs
+++ b/crates/marshal/src/memory.rs
@@ -25,7 +25,7 @@
 }
 
 /// One event for each purpose, and one for the process.
-pub fn report(ledger: &Ledger, groups: &[String], clients: usize) {
+pub fn log_report(ledger: &Ledger, groups: &[String], clients: usize) {
     let ((resident, program), held) = (resident(), ledger.total_held());
     let unaccounted = resident.saturating_sub(held);
     info!(resident, program, held, unaccounted, clients, "memory of the process");
@@ -46,7 +46,7 @@
 }
 
 /// One event for each change of a level since the last time.
-pub fn changes(ledger: &Ledger, groups: &[String]) {
+pub fn log_level_changes(ledger: &Ledger, groups: &[String]) {
     for change in ledger.drain_changes() {
         warn!(
             purpose = name(change.purpose, groups),
--- a/crates/marshal/src/mutants.rs
+++ b/crates/marshal/src/mutants.rs
@@ -9,14 +9,14 @@
 }
 
 /// Loses 200 bytes for each hit.
-pub fn hit() {
+pub fn leak_on_hit() {
     if chosen() == "leak-hit" {
         std::mem::forget(std::hint::black_box(vec![1_u8; 200]));
     }
 }
 
 /// Loses what it is handed for one connection in a hundred.
-pub fn connection<T>(held: T) {
+pub fn leak_on_connection<T>(held: T) {
     thread_local!(static COUNT: Cell<u32> = const { Cell::new(0) });
     let count = COUNT.with(|c| c.replace(c.get() + 1));
     if chosen() == "leak-connection" && count.is_multiple_of(100) {
--- a/crates/marshal/src/platform.rs
+++ b/crates/marshal/src/platform.rs
@@ -76,7 +76,7 @@
 }
 
 /// The state of the newest build as the platform words it.
-pub fn stage(told: &Value) -> Result<Stage, String> {
+pub fn parse_stage(told: &Value) -> Result<Stage, String> {
     let number = |key: &str| told.get(key).and_then(Value::as_f64).ok_or(format!("{key} is not a number"));
     let build = Some(number("build")?).filter(|b| (0.0..65536.0).contains(b)).ok_or("build is no build")?;
     let stage = Some(number("stage")?).filter(|s| (0.0..256.0).contains(s)).ok_or("stage is no stage")?;
@@ -102,7 +102,7 @@
 
     /// From now on the platform is at `addr`. What stands is kept until something came from there, so that
     /// neither votes nor news fall into a gap; one that was never heard is of no use.
-    pub fn at(self: &Rc<Self>, addr: SocketAddr) {
+    pub fn set_address(self: &Rc<Self>, addr: SocketAddr) {
         let (number, heard, left) = (self.next_id(), Cell::new(false), Cell::new(false));
         let post = Rc::new(Post { number, addr, heard, left, signal: Signal::default() });
         let before = self.posts.borrow().clone();
@@ -342,7 +342,7 @@
         if id == self.subscription || !self.answered(id) {
             return;
         }
-        match stage(result) {
+        match parse_stage(result) {
             Ok(stage) => self.platform.inbox.news(News::Stage(stage, Some(ForwardOutcome::Ok))),
             Err(why) => {
                 self.platform.failed(ForwardOutcome::TimedOut);
@@ -381,7 +381,7 @@
                 }
                 _ => self.unread = Some("build, class, count or failed of metrics".into()),
             },
-            "progress" => match stage(params) {
+            "progress" => match parse_stage(params) {
                 Ok(stage) => self.platform.inbox.news(News::Stage(stage, None)),
                 Err(why) => self.unread = Some(why),
             },
--- a/crates/marshal/src/reactor.rs
+++ b/crates/marshal/src/reactor.rs
@@ -110,12 +110,12 @@
     }
 
     /// There was nothing more to read, or to accept.
-    pub fn drained(&self) {
+    pub fn clear_readable(&self) {
         with(|r| r.slots[self.at].sides[READ].ready = false);
     }
 
     /// No more could be written.
-    pub fn filled(&self) {
+    pub fn clear_writable(&self) {
         with(|r| r.slots[self.at].sides[WRITE].ready = false);
     }
 }
@@ -133,7 +133,7 @@
 
 /// Sends small messages at once. A congestion control that paces what it sends sets a kernel timer a message;
 /// the plainest does not. Refused, either only costs time.
-pub fn quicken(socket: impl AsFd) {
+pub fn tune_for_latency(socket: impl AsFd) {
     let _ = rustix::net::sockopt::set_tcp_nodelay(&socket, true);
     let _ = rustix::net::sockopt::set_tcp_congestion(&socket, "reno");
 }
@@ -143,7 +143,7 @@
     let family = if addr.is_ipv4() { AddressFamily::INET } else { AddressFamily::INET6 };
     let flags = SocketFlags::CLOEXEC | SocketFlags::NONBLOCK;
     let socket = rustix::net::socket_with(family, SocketType::STREAM, flags, None)?;
-    quicken(&socket);
+    tune_for_latency(&socket);
     match rustix::net::connect(&socket, &addr) {
         Ok(()) | Err(rustix::io::Errno::INPROGRESS) => {}
         Err(e) => return Err(e.into()),
--- a/crates/marshal/src/serve.rs
+++ b/crates/marshal/src/serve.rs
@@ -5,7 +5,7 @@
 use crate::clients::Clients;
 use crate::clock::{Clock, duration};
 use crate::core::{Core, Doors};
-use crate::discovery::{Discovery, List, Places};
+use crate::discovery::{Discovery, List, LocalityNames};
 use crate::inbox::{Entry, Inbox, News};
 use crate::nodes::Nodes;
 use crate::platform::{self, Platform};
@@ -49,7 +49,7 @@
 impl Read {
     fn of(config: &Path, operator: Option<&Path>) -> Result<Self, String> {
         let (operator, in_force) = Operator::read(operator)?;
-        let root = startup::read(config)?;
+        let root = startup::read_config(config)?;
         let (said, plan) = look_through(&root, &operator)?;
         Ok(Read { root, operator, in_force, plan, said })
     }
@@ -57,7 +57,7 @@
 
 /// Checks both files as far as that goes without sockets; says what they hold.
 pub fn check(files: &Files) -> Result<(String, Vec<InForce>), String> {
-    let read = Read::of(&startup::place(files.config.clone())?, files.operator.as_deref())?;
+    let read = Read::of(&startup::config_path(files.config.clone())?, files.operator.as_deref())?;
     Ok((read.said, read.in_force))
 }
 
@@ -66,11 +66,11 @@
     startup::seed(root)?;
     let ((clients, _), links, memory) = startup::limits(root)?;
     let (platform, news) = startup::platform(root)?;
-    platform::stage(news).map_err(|e| format!("platform.news: {e}"))?;
+    platform::parse_stage(news).map_err(|e| format!("platform.news: {e}"))?;
     let settings = startup::settings(root)?;
     let names = stonescale_site::names(settings).map_err(|e| format!("settings.{e}"))?;
-    let (_, _, entries) = known(root, &Places::of(&names))?;
-    let plan = startup::plan(root, names.groups.len(), &operator.memory.shares)?;
+    let (_, _, entries) = known(root, &LocalityNames::new(&names))?;
+    let plan = startup::memory_plan(root, names.groups.len(), &operator.memory.shares)?;
     stonescale_site::links(settings).map_err(|e| format!("settings.{e}"))?;
     stonescale_site::outside(settings).map_err(|e| format!("settings.{e}"))?;
     stonescale_site::marshal(settings, 0, Clock::start().now(), &mut Nobody)
@@ -88,9 +88,9 @@
 }
 
 /// The node list that the configuration holds.
-fn known(root: &Value, places: &Places) -> Result<(u64, bool, Vec<Entry>), String> {
-    let list = List::deserialize(startup::known(root)?).map_err(|e| format!("known: {e}"))?;
-    places.list(list).map_err(|e| format!("known: {e}"))
+fn known(root: &Value, places: &LocalityNames) -> Result<(u64, bool, Vec<Entry>), String> {
+    let list = List::deserialize(startup::known_nodes(root)?).map_err(|e| format!("known: {e}"))?;
+    places.parse_list(list).map_err(|e| format!("known: {e}"))
 }
 
 /// Serves until SIGTERM, then until all that was taken is answered. On SIGHUP both files are read again.
@@ -99,7 +99,7 @@
     let ends = signals(&[SIGTERM, SIGINT]).map_err(|e| format!("signals: {e}"))?;
     let rereads = signals(&[SIGHUP]).map_err(|e| format!("signals: {e}"))?;
     let asked = signals(&[SIGUSR1]).map_err(|e| format!("signals: {e}"))?;
-    let config = startup::place(files.config)?;
+    let config = startup::config_path(files.config)?;
     let Read { mut root, operator, plan, said, .. } = Read::of(&config, files.operator.as_deref())?;
     let lines = operator.log.lines_per_second;
     let log = logger::start(files.log, operator.log.format, lines, plan.account(Purpose::Log).reserve);
@@ -107,20 +107,20 @@
     let (_, listen, there) = startup::identity(&root)?;
     let (most_clients, most_links, _) = startup::limits(&root)?;
     let (platform, news) = startup::platform(&root)?;
-    let news = platform::stage(news)?;
+    let news = platform::parse_stage(news)?;
     let seed = startup::seed(&root)?;
     let names = stonescale_site::names(startup::settings(&root)?)?;
-    let places = Rc::new(Places::of(&names));
+    let places = Rc::new(LocalityNames::new(&names));
     let (version, _, entries) = known(&root, &places)?;
     // Only what is compared when it is read again is kept: a list of thousands of nodes is not.
-    startup::forget_news(&mut root);
+    startup::remove_snapshot(&mut root);
     let settings = startup::settings(&root)?;
     let (watched, call_timeout) = stonescale_site::outside(settings)?;
     let ledger = Ledger::new(&plan);
 
     let listener = TcpListener::bind(listen).and_then(|l| l.set_nonblocking(true).map(|()| l));
     // What is taken on it inherits this.
-    listener.iter().for_each(reactor::quicken);
+    listener.iter().for_each(reactor::tune_for_latency);
     let listener = listener.and_then(Async::new).map_err(|e| format!("listen: {listen}: {e}"))?;
     info!("listening at {}", listener.get_ref().local_addr().unwrap_or(listen));
     let (clock, inbox) = (Clock::start(), Rc::new(Inbox::default()));
@@ -139,7 +139,7 @@
     let there = (there, platform);
     let platform =
         Platform::new(inbox.clone(), tasks.clone(), call_timeout, groups.clone(), seed, ledger.clone());
-    platform.at(there.1);
+    platform.set_address(there.1);
 
     let mut doors = Doors::new(clock, ledger.clone(), inbox.clone(), nodes, discovery, platform);
     let marshal = stonescale_site::marshal(settings, seed, clock.now(), &mut doors)?;
@@ -186,7 +186,7 @@
 
 /// What changes while serving goes on.
 struct Running {
-    log: Rc<logger::Log>,
+    log: Rc<logger::LogHandle>,
     ledger: Ledger,
     report_every: Rc<Cell<Span>>,
     inbox: Rc<Inbox>,
@@ -202,15 +202,16 @@
     loop {
         told(&signals).await;
         let read = Read::of(&config, file.as_deref());
-        let (read, now) = match read.and_then(|read| startup::moved(&read.root).map(|now| (read, now))) {
-            Ok(read) => read,
-            Err(why) => {
-                error!("told to read the configuration again: it is faulty, the one before stays: {why}");
-                continue;
-            }
-        };
+        let (read, now) =
+            match read.and_then(|read| startup::reloaded_addresses(&read.root).map(|now| (read, now))) {
+                Ok(read) => read,
+                Err(why) => {
+                    error!("told to read the configuration again: it is faulty, the one before stays: {why}");
+                    continue;
+                }
+            };
         info!("told to read the configuration again: discovery {}, platform {}", now.0, now.1);
-        let mut differing = startup::differing(&read.root, &running);
+        let mut differing = startup::changed_keys(&read.root, &running);
         if read.operator.log.format != operator.log.format {
             differing.push("[log] format".into());
         }
@@ -219,11 +220,11 @@
         }
         if read.operator != operator {
             info!("the operator's settings changed");
-            parts.log.lines(read.operator.log.lines_per_second);
+            parts.log.set_lines_per_second(read.operator.log.lines_per_second);
             parts.report_every.set(read.operator.memory.report_every);
             // By the limits that the process started with: those of the file wait for the next start.
             let groups = running.pointer("/settings/classes").and_then(Value::as_array).map_or(1, Vec::len);
-            match startup::plan(&running, groups, &read.operator.memory.shares) {
+            match startup::memory_plan(&running, groups, &read.operator.memory.shares) {
                 Ok(plan) => parts.ledger.apply_plan(&plan),
                 Err(why) => error!("the shares of memory stay as they are: {why}"),
             }
@@ -237,7 +238,7 @@
 
 /// Reports what memory is held for: every so often, and on each SIGUSR1; and changes of a level as they come.
 async fn tell_memory(
-    asked: Async<UnixStream>, (ledger, log): (Ledger, Rc<logger::Log>), groups: Vec<String>,
+    asked: Async<UnixStream>, (ledger, log): (Ledger, Rc<logger::LogHandle>), groups: Vec<String>,
     clients: Rc<Clients>, every: Rc<Cell<Span>>,
 ) {
     let (mut last, mut lines) = (Instant::now(), ledger.empty_charge(Purpose::Log));
@@ -252,12 +253,12 @@
         };
         let asked = or(asked, tick).await;
         // The log's thread has no part in the ledger; its bound is the reserve, which nobody else can take.
-        let _ = lines.resize(log.waiting());
-        memory::changes(&ledger, &groups);
+        let _ = lines.resize(log.queued_bytes());
+        memory::log_level_changes(&ledger, &groups);
         let due = every.get() > Span::ZERO && last.elapsed() >= duration(every.get());
         if asked || due {
             last = Instant::now();
-            memory::report(&ledger, &groups, clients.count());
+            memory::log_report(&ledger, &groups, clients.count());
         }
     }
 }
@@ -275,7 +276,7 @@
 /// Waits for the next signal.
 async fn told(signals: &Async<UnixStream>) {
     while !matches!(signals.get_ref().read(&mut [0]), Ok(1)) {
-        signals.drained();
+        signals.clear_readable();
         signals.readable().await;
     }
 }
--- a/crates/marshal/src/startup.rs
+++ b/crates/marshal/src/startup.rs
@@ -24,12 +24,12 @@
 }
 
 /// Where the configuration is, by the command line or else by the environment.
-pub fn place(file: Option<PathBuf>) -> Result<PathBuf, String> {
+pub fn config_path(file: Option<PathBuf>) -> Result<PathBuf, String> {
     let path = file.or_else(|| variable("NODE_CONFIG").map(PathBuf::from));
     Ok(path.ok_or("NODE_CONFIG is not set, and no --config was given")?)
 }
 
-pub fn read(path: &Path) -> Result<Value, String> {
+pub fn read_config(path: &Path) -> Result<Value, String> {
     let text = std::fs::read(path).map_err(|e| format!("NODE_CONFIG: {}: {e}", path.display()))?;
     let root: Value = serde_json::from_slice(&text)
         .map_err(|e| format!("NODE_CONFIG: {}: not JSON: {e}", path.display()))?;
@@ -56,7 +56,7 @@
 
 /// Addresses of discovery and of the platform in a file that is read again. The environment is from the
 /// start: it counts only for what the file does not say.
-pub fn moved(root: &Value) -> Result<(SocketAddr, SocketAddr), String> {
+pub fn reloaded_addresses(root: &Value) -> Result<(SocketAddr, SocketAddr), String> {
     let discovery = match root.get("discovery") {
         Some(_) => address(root, "", "discovery", "")?,
         None => address(root, "NODE_DISCOVERY", "discovery", "")?,
@@ -65,14 +65,14 @@
 }
 
 /// The keys in which a file differs from the one that runs, but for what only tells how things stood when it
-/// was written and the addresses that `moved` reads.
-pub fn differing(root: &Value, running: &Value) -> Vec<String> {
+/// was written and the addresses that `reloaded_addresses` reads.
+pub fn changed_keys(root: &Value, running: &Value) -> Vec<String> {
     let differs = |key: &&str| root.get(*key) != running.get(*key);
     ["name", "listen", "seed", "limits", "settings"].into_iter().filter(differs).map(str::to_owned).collect()
 }
 
 /// Drops what only tells how things stood when the file was written.
-pub fn forget_news(root: &mut Value) {
+pub fn remove_snapshot(root: &mut Value) {
     if let Some(root) = root.as_object_mut() {
         root.remove("known");
         root.remove("platform");
@@ -102,7 +102,7 @@
 
 /// Caps and reserves by purpose, from the limits and the shares; what can't be kept is an error that names what is
 /// missing.
-pub fn plan(root: &Value, groups: usize, shares: &Shares) -> Result<Plan, String> {
+pub fn memory_plan(root: &Value, groups: usize, shares: &Shares) -> Result<Plan, String> {
     let ((clients, _), links, memory) = limits(root)?;
     let process = ProcessLimits {
         memory_bytes: memory,
@@ -120,7 +120,7 @@
 }
 
 /// The node list as last held.
-pub fn known(root: &Value) -> Result<&Value, String> {
+pub fn known_nodes(root: &Value) -> Result<&Value, String> {
     Told(root, "").need("known")
 }
 
--- a/crates/marshal/src/turn.rs
+++ b/crates/marshal/src/turn.rs
@@ -83,12 +83,12 @@
         match stream.get_ref().read(scratch) {
             Ok(n) => {
                 if n < scratch.len() {
-                    stream.drained();
+                    stream.clear_readable();
                 }
                 return Ok(Some(&scratch[..n]));
             }
             Err(e) if e.kind() == ErrorKind::WouldBlock => {
-                stream.drained();
+                stream.clear_readable();
                 return Ok(None);
             }
             Err(e) if e.kind() == ErrorKind::Interrupted => {}
@@ -124,7 +124,7 @@
     loop {
         match write(stream.get_ref()) {
             Err(e) if e.kind() == ErrorKind::WouldBlock => {
-                stream.filled();
+                stream.clear_writable();
                 return Ok(0);
             }
             Err(e) if e.kind() == ErrorKind::Interrupted => {}
