--- a/crates/marshal/src/discovery.rs
+++ b/crates/marshal/src/discovery.rs
@@ -1,5 +1,5 @@
-//! Discovery: the whole list and the watch on its changes, over HTTP/1.1. When to ask is up to the module;
-//! every failure is told to it.
+//! HTTP/1.1 client of discovery: fetches the full node list and watches it for changes. The decision module chooses
+//! when to send a request, and is notified of every failure.
 
 use crate::inbox::{Entry, Inbox, News};
 use crate::reactor::Async;
@@ -20,33 +20,35 @@
 use stonescale_site::Names;
 use tracing::info;
 
-/// An empty line comes every 2 s, by the protocol page: after two without one, nothing will come.
-const SILENCE: Duration = Duration::from_millis(4_000);
-const UP_WITHIN: Duration = Duration::from_millis(1_000);
-/// Longest line: a list of some twenty thousand nodes; and one part in so many of what the list may occupy while it is read,
-/// as a line stands beside the next one and beside its entries.
-const LINE: usize = 4 << 20;
-const LINE_PART: usize = 4;
-/// What an entry occupies over the bytes that state it: its address, place and times take less room than their text.
-const ENTRIES: usize = 1;
+/// The protocol page promises an empty line every 2 s; after two missing ones the connection is taken for dead.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(4_000);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Room for a list of some twenty thousand nodes, which is sent as one line.
+const MAX_LINE_BYTES: usize = 4 << 20;
+/// A line may take up one part in four of discovery's memory cap, as it is held beside the next line and its own
+/// entries.
+const LINE_BUDGET_DIVISOR: usize = 4;
+/// Bytes charged for the parsed entries per byte of their text: address, locality and times take less room parsed.
+const ENTRY_BYTES_PER_TEXT_BYTE: usize = 1;
 
+/// Sends requests to discovery and passes the lists that it returns to the inbox.
 pub struct Discovery {
     addr: Cell<SocketAddr>,
-    places: Rc<LocalityNames>,
+    names: Rc<LocalityNames>,
     inbox: Rc<Inbox>,
     tasks: Rc<LocalExecutor<'static>>,
-    /// Version of the list held.
+    /// Version of the node list last received.
     version: Rc<Cell<Option<u64>>>,
     watch: RefCell<Option<Task<()>>>,
     fetch: RefCell<Option<Task<()>>>,
-    /// The watch at the address before, until something comes from the present one.
-    before: Rc<RefCell<Option<Task<()>>>>,
-    /// Number of the newest call: a failure of any other is not told.
-    newest: Rc<Cell<u64>>,
+    /// The watch on the previous address, until the current one has delivered a list.
+    previous_watch: Rc<RefCell<Option<Task<()>>>>,
+    /// Number of the newest request; failures of older ones are not reported.
+    newest_request: Rc<Cell<u64>>,
     ledger: Ledger,
 }
 
-/// The names of zones and kinds, to read entries by.
+/// Names of the zones and the kinds of nodes; an entry's locality is stored as indices into them.
 pub struct LocalityNames {
     pub zones: Vec<String>,
     pub kinds: Vec<String>,
@@ -57,38 +59,41 @@
         LocalityNames { zones: names.zones.clone(), kinds: names.kinds.clone() }
     }
 
-    /// One entry; an error says what is wrong with it.
-    fn entry(&self, told: &Server) -> Result<Entry, String> {
-        let at = |names: &[String], name: &str| names.iter().position(|n| n == name);
-        let addr = told.addr.parse().map_err(|_| "addr is not an address and a port")?;
-        let readiness = match &*told.state {
+    /// Converts one entry of the list. An error names the faulty key.
+    fn parse_entry(&self, server: &Server) -> Result<Entry, String> {
+        let index_of = |names: &[String], name: &str| names.iter().position(|n| n == name);
+        let addr = server.addr.parse().map_err(|_| "addr is not an address and a port")?;
+        let readiness = match &*server.state {
             "up" => Readiness::Ready,
             "draining" => Readiness::Draining,
             "removed" => Readiness::Gone,
             other => return Err(format!("state '{other}' is unknown")),
         };
-        // A place of an unknown name is like no other.
-        let place = NodeAttributes {
-            zone: at(&self.zones, &told.zone).and_then(|at| u8::try_from(at).ok()).unwrap_or(u8::MAX),
-            kind: at(&self.kinds, &told.kind).unwrap_or(self.kinds.len()) as u16,
-            cell: told.cell.unwrap_or(0.0) as u16,
-            weight: told.weight.unwrap_or(1.0) as f32,
+        // An unknown zone or kind gets an index of its own, which equals no known one.
+        let locality = NodeAttributes {
+            zone: index_of(&self.zones, &server.zone)
+                .and_then(|index| u8::try_from(index).ok())
+                .unwrap_or(u8::MAX),
+            kind: index_of(&self.kinds, &server.kind).unwrap_or(self.kinds.len()) as u16,
+            cell: server.cell.unwrap_or(0.0) as u16,
+            weight: server.weight.unwrap_or(1.0) as f32,
         };
-        let build =
-            Some(told.image_id).filter(|b| (0.0..65536.0).contains(b)).ok_or("image_id is no build")?;
-        let started = Time::at((told.started_ms.unwrap_or(0.0) as u64).saturating_mul(1_000_000));
-        Ok((told.id.clone().into_owned(), addr, place, readiness, build as u16, started))
+        let build = Some(server.image_id)
+            .filter(|b| (0.0..65536.0).contains(b))
+            .ok_or("image_id is not a build number")?;
+        let started = Time::at((server.started_ms.unwrap_or(0.0) as u64).saturating_mul(1_000_000));
+        Ok((server.id.clone().into_owned(), addr, locality, readiness, build as u16, started))
     }
 
-    /// Version, whether it is the whole list, and the entries of one list object. It is true as a whole or not at
-    /// all: with an entry passed over, a drain could be missed for ever.
-    pub fn parse_list(&self, told: List) -> Result<(u64, bool, Vec<Entry>), String> {
-        let entries: Result<Vec<_>, _> = told.servers.iter().map(|server| self.entry(server)).collect();
-        Ok((told.version, told.full, entries?))
+    /// Returns the version of a list object, whether it is the full list, and its entries. One invalid entry makes
+    /// the whole list invalid: if it were skipped, a drain could be missed for good.
+    pub fn parse_list(&self, list: List) -> Result<(u64, bool, Vec<Entry>), String> {
+        let entries: Result<Vec<_>, _> = list.servers.iter().map(|server| self.parse_entry(server)).collect();
+        Ok((list.version, list.full, entries?))
     }
 }
 
-/// A list object as discovery words it; its texts stay in the line that they came in.
+/// A list object of discovery's protocol; its strings borrow from the line that holds them.
 #[derive(Deserialize)]
 pub struct List<'a> {
     version: u64,
@@ -111,160 +116,175 @@
     #[serde(borrow)]
     state: Cow<'a, str>,
     weight: Option<f64>,
-    /// Left out or none: a long time back.
+    /// Missing or null: started a long time ago.
     started_ms: Option<f64>,
     image_id: f64,
 }
 
 impl Discovery {
+    /// `version` is that of the node list already held, from which a watch continues.
     pub fn new(
-        addr: SocketAddr, places: Rc<LocalityNames>, inbox: Rc<Inbox>, tasks: Rc<LocalExecutor<'static>>,
+        addr: SocketAddr, names: Rc<LocalityNames>, inbox: Rc<Inbox>, tasks: Rc<LocalExecutor<'static>>,
         version: Option<u64>, ledger: Ledger,
     ) -> Self {
         let version = Rc::new(Cell::new(version));
-        let (watch, fetch, before) = (RefCell::default(), RefCell::default(), Rc::default());
-        let (addr, newest) = (Cell::new(addr), Rc::default());
-        Discovery { addr, places, inbox, tasks, version, watch, fetch, before, newest, ledger }
+        let (watch, fetch, previous_watch) = (RefCell::default(), RefCell::default(), Rc::default());
+        let (addr, newest_request) = (Cell::new(addr), Rc::default());
+        Discovery { addr, names, inbox, tasks, version, watch, fetch, previous_watch, newest_request, ledger }
     }
 
-    /// From now on discovery is at `addr`. The watch that stands goes on until something comes from there, so
-    /// that no drain falls into a gap.
+    /// Sends requests to `addr` from now on. The open watch goes on until the new address has delivered a list, so
+    /// that no drain is missed in between.
     pub fn set_address(&self, addr: SocketAddr) {
         self.addr.set(addr);
         if let Some(watch) = self.watch.take() {
-            // Of several moves in a row, the oldest watch is the one that stands for sure.
-            self.before.borrow_mut().get_or_insert(watch);
+            // After several changes of address in a row, only the oldest watch is sure to be connected.
+            self.previous_watch.borrow_mut().get_or_insert(watch);
             self.watch(true);
         }
     }
 
-    /// Opens a watch in place of any other, or ends it.
+    /// Opens a watch in place of any other one, or closes it.
     pub fn watch(&self, on: bool) {
-        // What runs is ended first: two watches would tell things twice.
+        // The running watch is closed first: two of them would deliver each change twice.
         self.watch.take();
         if on {
-            let since = self.version.get().map_or(String::new(), |v| format!("&since={v}"));
-            let call = self.call(format!("/v1/endpoints?follow=1{since}"));
-            *self.watch.borrow_mut() = Some(self.tasks.spawn(call.run()));
+            let since = self.version.get().map_or(String::new(), |version| format!("&since={version}"));
+            let request = self.request(format!("/v1/endpoints?follow=1{since}"));
+            *self.watch.borrow_mut() = Some(self.tasks.spawn(request.run()));
         }
     }
 
+    /// Requests the full list, in place of any running request for it.
     pub fn fetch(&self) {
-        let call = self.call("/v1/endpoints".into());
-        *self.fetch.borrow_mut() = Some(self.tasks.spawn(call.run()));
+        let request = self.request("/v1/endpoints".into());
+        *self.fetch.borrow_mut() = Some(self.tasks.spawn(request.run()));
     }
 
-    fn call(&self, path: String) -> Call {
-        let (places, inbox, version) = (self.places.clone(), self.inbox.clone(), self.version.clone());
-        let (before, newest) = (self.before.clone(), self.newest.clone());
-        let number = newest.get() + 1;
-        newest.set(number);
+    fn request(&self, path: String) -> Request {
+        let (names, inbox, version) = (self.names.clone(), self.inbox.clone(), self.version.clone());
+        let (previous_watch, newest_request) = (self.previous_watch.clone(), self.newest_request.clone());
+        let number = newest_request.get() + 1;
+        newest_request.set(number);
         let ledger = self.ledger.clone();
-        Call { addr: self.addr.get(), path, number, places, inbox, version, before, newest, ledger }
+        Request {
+            addr: self.addr.get(),
+            path,
+            number,
+            names,
+            inbox,
+            version,
+            previous_watch,
+            newest_request,
+            ledger,
+        }
     }
 }
 
-struct Call {
+struct Request {
     addr: SocketAddr,
     path: String,
     number: u64,
-    places: Rc<LocalityNames>,
+    names: Rc<LocalityNames>,
     inbox: Rc<Inbox>,
     version: Rc<Cell<Option<u64>>>,
-    before: Rc<RefCell<Option<Task<()>>>>,
-    newest: Rc<Cell<u64>>,
+    previous_watch: Rc<RefCell<Option<Task<()>>>>,
+    newest_request: Rc<Cell<u64>>,
     ledger: Ledger,
 }
 
-impl Call {
+impl Request {
     async fn run(self) {
-        if let Err(why) = self.read().await {
+        if let Err(why) = self.read_response().await {
             info!("discovery: {why}");
-            if self.newest() {
+            if self.is_newest() {
                 self.inbox.news(News::ListFailed);
             }
         }
     }
 
-    fn newest(&self) -> bool {
-        self.newest.get() == self.number
+    fn is_newest(&self) -> bool {
+        self.newest_request.get() == self.number
     }
 
-    async fn read(&self) -> Result<(), String> {
-        let stream = connect(self.addr, UP_WITHIN).await.map_err(|e| format!("no connection: {e}"))?;
-        let ask =
+    /// Sends the request and applies each line of the response as it arrives. An error says why it is to be repeated;
+    /// a watch always ends with one.
+    async fn read_response(&self) -> Result<(), String> {
+        let stream = connect(self.addr, CONNECT_TIMEOUT).await.map_err(|e| format!("connect failed: {e}"))?;
+        let head =
             format!("GET {} HTTP/1.1\r\nHost: {}\r\nAccept: application/json\r\n\r\n", self.path, self.addr);
-        // A fresh connection takes so few bytes at once.
-        stream.get_ref().write_all(ask.as_bytes()).map_err(|e| format!("not asked: {e}"))?;
+        // The send buffer of a new connection has room for these few bytes, so that the write does not block.
+        stream.get_ref().write_all(head.as_bytes()).map_err(|e| format!("request not sent: {e}"))?;
         let (mut response, mut lines) = (
             ResponseParser::default(),
-            LineBuffer::new(LINE.min(self.ledger.cap(Purpose::Discovery) / LINE_PART)),
+            LineBuffer::new(MAX_LINE_BYTES.min(self.ledger.cap(Purpose::Discovery) / LINE_BUDGET_DIVISOR)),
         );
         let mut charge = self.ledger.empty_charge(Purpose::Discovery);
         let (mut scratch, mut body, mut line) = (vec![0; 16 * 1024], Vec::new(), Vec::new());
         loop {
-            let ended = Self::bytes(&stream, &mut scratch, &mut response, &mut body).await?;
+            let closed = Self::read_body(&stream, &mut scratch, &mut response, &mut body).await?;
             if response.status != 0 && response.status != 200 {
-                return Err(format!("answered with status {}", response.status));
+                return Err(format!("response status {}", response.status));
             }
             lines.feed(&body);
-            let over = ended || response.is_complete();
-            if over {
+            let finished = closed || response.is_complete();
+            if finished {
                 lines.feed(b"\n");
             }
-            // What is read but can't be held is asked for anew: a list is true as a whole or not at all.
-            let held = |lines: &LineBuffer, line: &Vec<u8>| lines.allocated_bytes() + line.capacity();
-            charge.resize(held(&lines, &line)).map_err(|_| "there is no room for the list")?;
+            // A list for which there is no room is requested again as a whole, as part of a list is of no use.
+            let held_bytes = |lines: &LineBuffer, line: &Vec<u8>| lines.allocated_bytes() + line.capacity();
+            charge.resize(held_bytes(&lines, &line)).map_err(|_| "no room for the list")?;
             while lines.next_line(&mut line)? {
-                charge.resize(held(&lines, &line)).map_err(|_| "there is no room for the list")?;
-                self.line(&line)?;
+                charge.resize(held_bytes(&lines, &line)).map_err(|_| "no room for the list")?;
+                self.apply_line(&line)?;
             }
             if line.capacity() > scratch.len() {
                 line = Vec::new();
             }
-            charge.resize(held(&lines, &line)).map_err(|_| "there is no room for the list")?;
-            if over {
-                let whole = response.is_complete() || response.is_close_delimited();
+            charge.resize(held_bytes(&lines, &line)).map_err(|_| "no room for the list")?;
+            if finished {
+                let complete = response.is_complete() || response.is_close_delimited();
                 let watch = self.path.contains("follow");
-                return if whole && !watch { Ok(()) } else { Err("ended by the other side".into()) };
+                return if complete && !watch { Ok(()) } else { Err("closed by discovery".into()) };
             }
         }
     }
 
-    /// The next bytes of the body; true at the connection's end.
-    async fn bytes(
+    /// Reads the next bytes of the body; true once the peer has closed the connection.
+    async fn read_body(
         stream: &Async<TcpStream>, scratch: &mut [u8], response: &mut ResponseParser, body: &mut Vec<u8>,
     ) -> Result<bool, String> {
         body.clear();
-        let (signal, until) = (Signal::default(), Instant::now() + SILENCE);
+        let (signal, deadline) = (Signal::default(), Instant::now() + SILENCE_TIMEOUT);
         loop {
-            if turn(stream, true, false, &signal, Some(until)).await == Turn::Due {
-                return Err(format!("silent for {SILENCE:?}"));
+            if turn(stream, true, false, &signal, Some(deadline)).await == Turn::Due {
+                return Err(format!("nothing received for {SILENCE_TIMEOUT:?}"));
             }
             match read_some(stream, scratch) {
                 Ok(None) => {}
                 Ok(Some([])) => return Ok(true),
                 Ok(Some(bytes)) => return response.feed(bytes, body).map(|()| false).map_err(Into::into),
-                Err(e) => return Err(format!("broke: {e}")),
+                Err(e) => return Err(format!("connection failed: {e}")),
             }
         }
     }
 
-    fn line(&self, line: &[u8]) -> Result<(), String> {
+    /// Parses one line of a response and passes its list to the inbox; empty lines only keep the connection alive.
+    fn apply_line(&self, line: &[u8]) -> Result<(), String> {
         if line.trim_ascii().is_empty() {
             return Ok(());
         }
-        let charge = self.ledger.charge(Purpose::Discovery, line.len() * ENTRIES);
-        let charge = charge.map_err(|_| "there is no room for the entries of the list")?;
-        let told: List = serde_json::from_slice(line).map_err(|e| format!("a line can't be read: {e}"))?;
-        let (version, full, entries) = self.places.parse_list(told)?;
-        if !full && self.version.get().is_some_and(|held| version < held) {
-            // It can't be put on top of what is held; the next call is for the whole list.
+        let charge = self.ledger.charge(Purpose::Discovery, line.len() * ENTRY_BYTES_PER_TEXT_BYTE);
+        let charge = charge.map_err(|_| "no room for the entries of the list")?;
+        let list: List = serde_json::from_slice(line).map_err(|e| format!("invalid line: {e}"))?;
+        let (version, full, entries) = self.names.parse_list(list)?;
+        if !full && self.version.get().is_some_and(|current| version < current) {
+            // The changes don't apply to the list held, so that the next request is for the full list.
             self.version.set(None);
-            return Err(format!("changes of version {version}, which is older than the list held"));
+            return Err(format!("changes of version {version} are older than the list held"));
         }
-        if self.newest() {
-            drop(self.before.take());
+        if self.is_newest() {
+            drop(self.previous_watch.take());
         }
         self.version.set(Some(version));
         self.inbox.news(News::Listed(
@@ -281,14 +301,14 @@
     use super::*;
 
     #[test]
-    fn a_zone_past_those_that_are_told_apart_is_like_one_of_no_known_name() {
+    fn a_zone_index_beyond_u8_is_treated_as_an_unknown_zone() {
         let zones = (0..300).map(|n| format!("z{n}")).collect();
-        let places = LocalityNames { zones, kinds: vec!["m".into()] };
+        let names = LocalityNames { zones, kinds: vec!["m".into()] };
         let zone = |name: &str| {
             let line = format!(
                 r#"{{"version":1,"full":true,"servers":[{{"id":"s","addr":"127.0.0.1:1","zone":"{name}","kind":"m","state":"up","image_id":1}}]}}"#
             );
-            let (_, _, entries) = places.parse_list(serde_json::from_str(&line).unwrap()).unwrap();
+            let (_, _, entries) = names.parse_list(serde_json::from_str(&line).unwrap()).unwrap();
             entries[0].2.zone
         };
         assert_eq!(["z0", "z254", "z256", "z299", "none"].map(zone), [0, 254, u8::MAX, u8::MAX, u8::MAX]);
--- a/crates/marshal/src/platform.rs
+++ b/crates/marshal/src/platform.rs
@@ -1,5 +1,5 @@
-//! The platform: one connection, always subscribed, on which votes go out as well. Where the platform moves, the
-//! one to its old address stays until the new one is heard.
+//! JSON-RPC client of the platform: one connection that carries both the subscription and the votes. After a change
+//! of the platform's address, the connection to the old address stays open until the new one has delivered a message.
 
 use crate::clock::duration;
 use crate::inbox::{Inbox, News, Stage};
@@ -21,36 +21,40 @@
 use stonescale_formats::lines::LineBuffer;
 use tracing::{info, warn};
 
-/// A sign of life comes every second, by the protocol page: after three, the connection may be dead.
-const SILENCE: Duration = Duration::from_millis(3_200);
-const UP_WITHIN: Duration = Duration::from_millis(1_000);
-/// Pauses between connections: the first, and the longest; each is scattered by half.
-const PAUSE: Duration = Duration::from_millis(100);
-const LONGEST_PAUSE: Duration = Duration::from_millis(2_000);
-/// A line of 8 KiB ends the connection on the platform's side; its own are no longer than that by much.
-const LINE: usize = 64 * 1024;
+/// The protocol page promises a message every second; after three seconds without one the connection may be dead.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(3_200);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Exponential backoff between connection attempts, with a jitter of ±50 %.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
+const MAX_BACKOFF: Duration = Duration::from_millis(2_000);
+/// The platform closes a connection on which it receives a line of 8 KiB; the lines that it sends itself are not
+/// much longer than that.
+const MAX_LINE_BYTES: usize = 64 * 1024;
 
-/// A vote that is not answered yet.
-struct Call {
+/// A vote that has no answer yet.
+struct PendingVote {
     id: u64,
     params: Value,
-    due: Instant,
-    /// The post that took it on, and bytes written on its connection once the last one is; none while it waits.
-    taken: Option<(u64, u64)>,
+    deadline: Instant,
+    /// Number of the endpoint that sends it, and the byte offset in that connection's output at which it ends; none
+    /// while no endpoint has queued it.
+    assigned: Option<(u64, u64)>,
 }
 
-impl Call {
-    /// Waits for any post, or is this one's.
-    fn concerns(&self, post: &Post) -> bool {
-        self.taken.is_none_or(|(number, _)| number == post.number)
+impl PendingVote {
+    /// Whether the vote is unassigned or assigned to this endpoint.
+    fn is_unassigned_or_on(&self, endpoint: &Endpoint) -> bool {
+        self.assigned.is_none_or(|(number, _)| number == endpoint.number)
     }
 
-    /// Its last byte was written on this post's connection.
-    fn written(&self, post: &Post, line: &Line) -> bool {
-        self.taken.is_some_and(|(number, at)| number == post.number && line.written >= at)
+    /// Whether the whole vote was written on this endpoint's connection.
+    fn is_written_on(&self, endpoint: &Endpoint, connection: &ConnectionState) -> bool {
+        self.assigned
+            .is_some_and(|(number, end)| number == endpoint.number && connection.written_bytes >= end)
     }
 }
 
+/// The platform's votes and notifications, over one connection for each address in use.
 pub struct Platform {
     inbox: Rc<Inbox>,
     tasks: Rc<LocalExecutor<'static>>,
@@ -59,28 +63,30 @@
     seed: u64,
     ledger: Ledger,
     last_id: Cell<u64>,
-    calls: RefCell<VecDeque<Call>>,
-    /// The newest last; those before it are on their way out.
-    posts: RefCell<Vec<Rc<Post>>>,
+    votes: RefCell<VecDeque<PendingVote>>,
+    /// The newest last; those before it are being retired.
+    endpoints: RefCell<Vec<Rc<Endpoint>>>,
 }
 
-/// One address of the platform, and the connection to it.
-struct Post {
+/// An address of the platform and the state of the connection to it.
+struct Endpoint {
     number: u64,
     addr: SocketAddr,
-    /// Something came from there.
+    /// Whether a message was received from this address.
     heard: Cell<bool>,
-    /// A newer one was heard: only the answers to its own calls count still.
-    left: Cell<bool>,
+    /// Whether a newer endpoint has replaced this one, so that only the answers to its own votes still count.
+    retired: Cell<bool>,
     signal: Signal,
 }
 
-/// The state of the newest build as the platform words it.
-pub fn parse_stage(told: &Value) -> Result<Stage, String> {
-    let number = |key: &str| told.get(key).and_then(Value::as_f64).ok_or(format!("{key} is not a number"));
-    let build = Some(number("build")?).filter(|b| (0.0..65536.0).contains(b)).ok_or("build is no build")?;
-    let stage = Some(number("stage")?).filter(|s| (0.0..256.0).contains(s)).ok_or("stage is no stage")?;
-    let standing = match told.get("phase").and_then(Value::as_str).ok_or("phase is not a text")? {
+/// Reads the state of the newest build from a JSON object of the platform. An error names the faulty key.
+pub fn parse_stage(status: &Value) -> Result<Stage, String> {
+    let number = |key: &str| status.get(key).and_then(Value::as_f64).ok_or(format!("{key} is not a number"));
+    let build =
+        Some(number("build")?).filter(|b| (0.0..65536.0).contains(b)).ok_or("build is not a build number")?;
+    let stage =
+        Some(number("stage")?).filter(|s| (0.0..256.0).contains(s)).ok_or("stage is not a stage number")?;
+    let build_status = match status.get("phase").and_then(Value::as_str).ok_or("phase is not a string")? {
         "testing" => BuildStatus::OnTrial,
         "recalling" => BuildStatus::GoingBack,
         "live" => BuildStatus::Released,
@@ -88,38 +94,41 @@
         other => return Err(format!("phase '{other}' is unknown")),
     };
     let age = Span::from_seconds(number("age_ms")?.max(0.0) / 1e3);
-    Ok((build as u16, stage as u8, standing, number("cap")?.clamp(0.0, 1.0), age))
+    Ok((build as u16, stage as u8, build_status, number("cap")?.clamp(0.0, 1.0), age))
 }
 
 impl Platform {
+    /// `groups` are the path groups' names in the order of their indices; `seed` determines the backoff jitter.
     pub fn new(
         inbox: Rc<Inbox>, tasks: Rc<LocalExecutor<'static>>, call_timeout: Span, groups: Vec<String>,
         seed: u64, ledger: Ledger,
     ) -> Rc<Self> {
-        let (last_id, calls, posts) = (Cell::new(0), RefCell::default(), RefCell::default());
-        Rc::new(Platform { inbox, tasks, call_timeout, groups, seed, ledger, last_id, calls, posts })
+        let (last_id, votes, endpoints) = (Cell::new(0), RefCell::default(), RefCell::default());
+        Rc::new(Platform { inbox, tasks, call_timeout, groups, seed, ledger, last_id, votes, endpoints })
     }
 
-    /// From now on the platform is at `addr`. What stands is kept until something came from there, so that
-    /// neither votes nor news fall into a gap; one that was never heard is of no use.
+    /// Connects to the platform at `addr` from now on. A connection that has delivered messages is kept until the new
+    /// address delivers one, so that no vote and no notification is lost in between; one that has delivered none is
+    /// closed at once.
     pub fn set_address(self: &Rc<Self>, addr: SocketAddr) {
-        let (number, heard, left) = (self.next_id(), Cell::new(false), Cell::new(false));
-        let post = Rc::new(Post { number, addr, heard, left, signal: Signal::default() });
-        let before = self.posts.borrow().clone();
-        before.iter().filter(|p| !p.heard.get()).for_each(|p| self.leave(p));
-        self.posts.borrow_mut().push(post.clone());
-        self.tasks.spawn(self.clone().run(post)).detach();
+        let (number, heard, retired) = (self.next_id(), Cell::new(false), Cell::new(false));
+        let endpoint = Rc::new(Endpoint { number, addr, heard, retired, signal: Signal::default() });
+        let before = self.endpoints.borrow().clone();
+        before.iter().filter(|other| !other.heard.get()).for_each(|other| self.retire(other));
+        self.endpoints.borrow_mut().push(endpoint.clone());
+        self.tasks.spawn(self.clone().run(endpoint)).detach();
     }
 
-    fn leave(&self, post: &Post) {
-        post.left.set(true);
-        post.signal.raise();
+    fn retire(&self, endpoint: &Endpoint) {
+        endpoint.retired.set(true);
+        endpoint.signal.raise();
     }
 
-    fn newest(&self, post: &Post) -> bool {
-        self.posts.borrow().last().is_some_and(|p| p.number == post.number)
+    fn is_newest(&self, endpoint: &Endpoint) -> bool {
+        self.endpoints.borrow().last().is_some_and(|last| last.number == endpoint.number)
     }
 
+    /// Queues a vote on this stage of the build; the outcome arrives in the inbox as `News::Stage`.
     pub fn vote(&self, build: u16, stage: u8, verdict: Verdict) {
         let verdict = match verdict {
             Verdict::None => "blank",
@@ -127,10 +136,10 @@
             Verdict::Hold => "stay",
             Verdict::Back => "stop",
         };
-        let due = Instant::now() + duration(self.call_timeout);
+        let deadline = Instant::now() + duration(self.call_timeout);
         let (id, params) = (self.next_id(), json!({"build": build, "stage": stage, "verdict": verdict}));
-        self.calls.borrow_mut().push_back(Call { id, params, due, taken: None });
-        self.posts.borrow().iter().for_each(|p| p.signal.raise());
+        self.votes.borrow_mut().push_back(PendingVote { id, params, deadline, assigned: None });
+        self.endpoints.borrow().iter().for_each(|endpoint| endpoint.signal.raise());
     }
 
     fn next_id(&self) -> u64 {
@@ -138,140 +147,158 @@
         self.last_id.get()
     }
 
-    /// Tells the module how a vote without a usable answer ended.
-    fn failed(&self, fate: ForwardOutcome) {
-        let none = (0, 0, BuildStatus::Withdrawn, 0.0, Span::ZERO);
-        self.inbox.news(News::Stage(none, Some(fate)));
+    /// Reports the outcome of a vote that got no usable answer.
+    fn report_failed_vote(&self, outcome: ForwardOutcome) {
+        let unknown = (0, 0, BuildStatus::Withdrawn, 0.0, Span::ZERO);
+        self.inbox.news(News::Stage(unknown, Some(outcome)));
     }
 
-    async fn run(self: Rc<Self>, post: Rc<Post>) {
-        let mut chance = Pcg64Mcg::seed_from_u64(self.seed ^ post.number);
-        let mut pause = PAUSE;
+    /// Keeps the endpoint connected until a newer one replaces it.
+    async fn run(self: Rc<Self>, endpoint: Rc<Endpoint>) {
+        let mut rng = Pcg64Mcg::seed_from_u64(self.seed ^ endpoint.number);
+        let mut backoff = INITIAL_BACKOFF;
         loop {
-            let mut line = Line::new(&self.ledger);
-            let why = match self.connect(&post).await {
-                Ok(stream) => self.talk(&post, &stream, &mut line).await,
-                Err(e) => format!("no connection: {e}"),
+            let mut connection = ConnectionState::new(&self.ledger);
+            let why = match self.connect(&endpoint).await {
+                Ok(stream) => self.exchange(&endpoint, &stream, &mut connection).await,
+                Err(e) => format!("connect failed: {e}"),
             };
             info!("platform: {why}");
-            // What was written whole may have been carried out; the rest goes on the next connection.
+            // A vote that was written completely may have been carried out; the others go out on the next connection.
             let mut lost = 0;
-            self.calls.borrow_mut().retain_mut(|call| {
-                let written = call.written(&post, &line);
-                call.taken = call.taken.filter(|(number, _)| *number != post.number);
+            self.votes.borrow_mut().retain_mut(|vote| {
+                let written = vote.is_written_on(&endpoint, &connection);
+                vote.assigned = vote.assigned.filter(|(number, _)| *number != endpoint.number);
                 lost += usize::from(written);
                 !written
             });
-            (0..lost).for_each(|_| self.failed(ForwardOutcome::TimedOut));
-            if !self.newest(&post) {
+            (0..lost).for_each(|_| self.report_failed_vote(ForwardOutcome::TimedOut));
+            if !self.is_newest(&endpoint) {
                 break;
             }
-            pause = if line.heard { PAUSE } else { (pause * 2).min(LONGEST_PAUSE) };
-            let until = Instant::now() + pause.mul_f64(chance.random_range(0.5..1.5));
+            backoff = if connection.heard { INITIAL_BACKOFF } else { (backoff * 2).min(MAX_BACKOFF) };
+            let until = Instant::now() + backoff.mul_f64(rng.random_range(0.5..1.5));
             while Instant::now() < until {
-                Timer::at(self.next_due(&post).map_or(until, |due| due.min(until))).await;
-                self.expire(&post, &line);
+                Timer::at(self.next_deadline(&endpoint).map_or(until, |deadline| deadline.min(until))).await;
+                self.expire_votes(&endpoint, &connection);
             }
-            if !self.newest(&post) {
+            if !self.is_newest(&endpoint) {
                 break;
             }
         }
-        self.posts.borrow_mut().retain(|p| p.number != post.number);
-        self.posts.borrow().iter().for_each(|p| p.signal.raise());
+        self.endpoints.borrow_mut().retain(|other| other.number != endpoint.number);
+        self.endpoints.borrow().iter().for_each(|endpoint| endpoint.signal.raise());
     }
 
-    /// Connects; votes that come due meanwhile end.
-    async fn connect(&self, post: &Post) -> std::io::Result<Async<TcpStream>> {
+    /// Connects; votes whose deadline passes meanwhile are reported as failed.
+    async fn connect(&self, endpoint: &Endpoint) -> std::io::Result<Async<TcpStream>> {
         let expiring = async {
             loop {
-                match self.next_due(post) {
-                    Some(due) => Timer::at(due).await,
-                    None => post.signal.wait().await,
+                match self.next_deadline(endpoint) {
+                    Some(deadline) => Timer::at(deadline).await,
+                    None => endpoint.signal.wait().await,
                 }
-                if post.left.get() {
+                if endpoint.retired.get() {
                     return Err(std::io::Error::other("the platform has moved"));
                 }
-                self.expire(post, &Line::new(&self.ledger));
+                self.expire_votes(endpoint, &ConnectionState::new(&self.ledger));
             }
         };
-        futures_lite::future::or(connect(post.addr, UP_WITHIN), expiring).await
+        futures_lite::future::or(connect(endpoint.addr, CONNECT_TIMEOUT), expiring).await
     }
 
-    fn next_due(&self, post: &Post) -> Option<Instant> {
-        self.calls.borrow().iter().filter(|c| c.concerns(post)).map(|c| c.due).min()
+    fn next_deadline(&self, endpoint: &Endpoint) -> Option<Instant> {
+        self.votes
+            .borrow()
+            .iter()
+            .filter(|vote| vote.is_unassigned_or_on(endpoint))
+            .map(|vote| vote.deadline)
+            .min()
     }
 
-    /// Ends the votes whose time is over.
-    fn expire(&self, post: &Post, line: &Line) {
+    /// Removes the votes whose deadline has passed and reports them as failed.
+    fn expire_votes(&self, endpoint: &Endpoint, connection: &ConnectionState) {
         let now = Instant::now();
         let mut ended = Vec::new();
-        self.calls.borrow_mut().retain(|call| {
-            let over = call.due <= now && call.concerns(post);
-            if over {
-                ended.push(if call.written(post, line) {
+        self.votes.borrow_mut().retain(|vote| {
+            let overdue = vote.deadline <= now && vote.is_unassigned_or_on(endpoint);
+            if overdue {
+                ended.push(if vote.is_written_on(endpoint, connection) {
                     ForwardOutcome::TimedOut
                 } else {
                     ForwardOutcome::Unreached
                 });
             }
-            !over
+            !overdue
         });
-        ended.into_iter().for_each(|fate| self.failed(fate));
+        ended.into_iter().for_each(|outcome| self.report_failed_vote(outcome));
     }
 
-    /// Takes on the votes that wait, unless a newer post has answered already.
-    fn take_on(&self, post: &Post, line: &mut Line) {
-        for call in self.calls.borrow_mut().iter_mut().filter(|c| c.taken.is_none() && !post.left.get()) {
-            // Without room it waits, and is told as unreached when its time is over.
-            let at = line.call(call.id, "release.vote", call.params.clone());
-            call.taken = at.map(|at| (post.number, at));
+    /// Queues the unassigned votes on this connection, unless a newer endpoint has replaced it.
+    fn queue_votes(&self, endpoint: &Endpoint, connection: &mut ConnectionState) {
+        for vote in self
+            .votes
+            .borrow_mut()
+            .iter_mut()
+            .filter(|vote| vote.assigned.is_none() && !endpoint.retired.get())
+        {
+            // Without room the vote stays unassigned, and is reported as unreached once its deadline has passed.
+            let end = connection.queue_request(vote.id, "release.vote", vote.params.clone());
+            vote.assigned = end.map(|end| (endpoint.number, end));
         }
     }
 
-    /// Subscribes, sends votes, hands on what comes; returns why the connection is of no more use.
-    async fn talk(&self, post: &Post, stream: &Async<TcpStream>, line: &mut Line) -> String {
+    /// Subscribes, sends votes and dispatches incoming messages; returns why the connection is to be closed.
+    async fn exchange(
+        &self, endpoint: &Endpoint, stream: &Async<TcpStream>, connection: &mut ConnectionState,
+    ) -> String {
         let subscription = self.next_id();
-        line.call(subscription, "subscribe", Value::Null);
-        let (mut lines, mut text, mut scratch) = (LineBuffer::new(LINE), Vec::new(), vec![0; 4 * 1024]);
+        connection.queue_request(subscription, "subscribe", Value::Null);
+        let (mut lines, mut text, mut scratch) =
+            (LineBuffer::new(MAX_LINE_BYTES), Vec::new(), vec![0; 4 * 1024]);
         let mut charge = self.ledger.empty_charge(Purpose::Platform);
-        let mut silent_at = Instant::now() + SILENCE;
+        let mut silent_at = Instant::now() + SILENCE_TIMEOUT;
         loop {
-            self.expire(post, line);
-            let mine = |c: &Call| c.taken.is_some_and(|(number, _)| number == post.number);
-            if post.left.get() && !self.calls.borrow().iter().any(mine) {
+            self.expire_votes(endpoint, connection);
+            let is_own =
+                |vote: &PendingVote| vote.assigned.is_some_and(|(number, _)| number == endpoint.number);
+            if endpoint.retired.get() && !self.votes.borrow().iter().any(is_own) {
                 return "the platform has moved".into();
             }
-            self.take_on(post, line);
-            if let Err(e) = line.flush(stream) {
-                return format!("broke: {e}");
+            self.queue_votes(endpoint, connection);
+            if let Err(e) = connection.flush(stream) {
+                return format!("connection failed: {e}");
             }
-            let due = self.next_due(post).map_or(silent_at, |due| due.min(silent_at));
-            match turn(stream, true, !line.out.is_empty(), &post.signal, Some(due)).await {
-                Turn::Due if Instant::now() >= silent_at => return format!("silent for {SILENCE:?}"),
+            let deadline = self.next_deadline(endpoint).map_or(silent_at, |deadline| deadline.min(silent_at));
+            match turn(stream, true, !connection.out.is_empty(), &endpoint.signal, Some(deadline)).await {
+                Turn::Due if Instant::now() >= silent_at => {
+                    return format!("nothing received for {SILENCE_TIMEOUT:?}");
+                }
                 Turn::Readable => match read_some(stream, &mut scratch) {
                     Ok(None) => {}
-                    Ok(Some([])) => return "ended by the other side".into(),
+                    Ok(Some([])) => return "closed by the platform".into(),
                     Ok(Some(bytes)) => {
                         lines.feed(bytes);
                         if charge.resize(lines.allocated_bytes() + text.capacity()).is_err() {
-                            return "there is no room for what it says".into();
+                            return "no room for received data".into();
                         }
                     }
-                    Err(e) => return format!("broke: {e}"),
+                    Err(e) => return format!("connection failed: {e}"),
                 },
                 _ => {}
             }
             loop {
                 match lines.next_line(&mut text) {
                     Ok(true) => {
-                        let mut ear = Ear { platform: self, post, subscription, unread: None };
-                        let read = json_rpc::dispatch_message(&text, &mut ear).map_err(str::to_owned);
-                        // Behind a line that can't be read, nothing is sure: who has nothing to say to it
-                        // would wait for what was lost with it.
-                        if let Err(why) = read.and(ear.unread.map_or(Ok(()), Err)) {
-                            return format!("a line can't be read: {why}");
+                        let mut receiver =
+                            MessageReceiver { platform: self, endpoint, subscription, invalid: None };
+                        let read = json_rpc::dispatch_message(&text, &mut receiver).map_err(str::to_owned);
+                        // After an unreadable line the connection is closed: a notification lost with it would
+                        // otherwise be waited for in vain.
+                        if let Err(why) = read.and(receiver.invalid.map_or(Ok(()), Err)) {
+                            return format!("invalid message: {why}");
                         }
-                        (silent_at, line.heard) = (Instant::now() + SILENCE, true);
+                        (silent_at, connection.heard) = (Instant::now() + SILENCE_TIMEOUT, true);
                     }
                     Ok(false) => break,
                     Err(why) => return why.into(),
@@ -280,82 +307,90 @@
         }
     }
 
-    /// What was heard on this post is of use: those before it are left.
-    fn heard(&self, post: &Post) {
-        if !post.heard.replace(true) {
-            let posts = self.posts.borrow();
-            posts.iter().take_while(|p| p.number != post.number).for_each(|p| self.leave(p));
+    /// Notes that the endpoint has delivered a message, and retires those before it.
+    fn mark_heard(&self, endpoint: &Endpoint) {
+        if !endpoint.heard.replace(true) {
+            let endpoints = self.endpoints.borrow();
+            endpoints
+                .iter()
+                .take_while(|other| other.number != endpoint.number)
+                .for_each(|other| self.retire(other));
         }
     }
 }
 
-/// What goes out on one connection.
-struct Line {
+/// Output of one connection, and whether it has received anything.
+struct ConnectionState {
     out: Buffer,
-    queued: u64,
-    written: u64,
-    /// Something came back on it.
+    queued_bytes: u64,
+    written_bytes: u64,
+    /// Whether a message was received on this connection.
     heard: bool,
 }
 
-impl Line {
+impl ConnectionState {
     fn new(ledger: &Ledger) -> Self {
-        Line { out: Buffer::with_prepaid(ledger, Purpose::Platform), queued: 0, written: 0, heard: false }
+        ConnectionState {
+            out: Buffer::with_prepaid(ledger, Purpose::Platform),
+            queued_bytes: 0,
+            written_bytes: 0,
+            heard: false,
+        }
     }
 
-    /// Queues a call if there is room; returns how many bytes will have been written with it.
-    fn call(&mut self, id: u64, method: &str, params: Value) -> Option<u64> {
+    /// Queues a request if there is room; returns the byte offset in the connection's output at which it ends.
+    fn queue_request(&mut self, id: u64, method: &str, params: Value) -> Option<u64> {
         let mut text = Vec::new();
         json_rpc::write_request(&mut text, id, method, params);
         self.out.extend(&text).ok()?;
-        self.queued += text.len() as u64;
-        Some(self.queued)
+        self.queued_bytes += text.len() as u64;
+        Some(self.queued_bytes)
     }
 
     fn flush(&mut self, stream: &Async<TcpStream>) -> std::io::Result<()> {
-        write_some(stream, &mut self.out, &mut self.written).map(|_| ())
+        write_some(stream, &mut self.out, &mut self.written_bytes).map(|_| ())
     }
 }
 
-/// Hands on what one line says.
-struct Ear<'a> {
+/// Dispatches the messages of one line to the inbox.
+struct MessageReceiver<'a> {
     platform: &'a Platform,
-    post: &'a Post,
+    endpoint: &'a Endpoint,
     subscription: u64,
-    /// What in the line could not be read.
-    unread: Option<String>,
+    /// Which part of the line is invalid.
+    invalid: Option<String>,
 }
 
-impl Ear<'_> {
-    /// Ends the vote with this id; false where none is out, or its time was over.
-    fn answered(&self, id: u64) -> bool {
-        let mut calls = self.platform.calls.borrow_mut();
-        let before = calls.len();
-        calls.retain(|c| c.id != id);
-        calls.len() < before
+impl MessageReceiver<'_> {
+    /// Removes the vote with this id; false if there is none or its deadline has passed.
+    fn remove_vote(&self, id: u64) -> bool {
+        let mut votes = self.platform.votes.borrow_mut();
+        let before = votes.len();
+        votes.retain(|vote| vote.id != id);
+        votes.len() < before
     }
 }
 
-impl MessageHandler for Ear<'_> {
+impl MessageHandler for MessageReceiver<'_> {
     fn on_result(&mut self, id: u64, result: &Value) {
-        self.platform.heard(self.post);
-        if id == self.subscription || !self.answered(id) {
+        self.platform.mark_heard(self.endpoint);
+        if id == self.subscription || !self.remove_vote(id) {
             return;
         }
         match parse_stage(result) {
             Ok(stage) => self.platform.inbox.news(News::Stage(stage, Some(ForwardOutcome::Ok))),
             Err(why) => {
-                self.platform.failed(ForwardOutcome::TimedOut);
-                self.unread = Some(why);
+                self.platform.report_failed_vote(ForwardOutcome::TimedOut);
+                self.invalid = Some(why);
             }
         }
     }
 
     fn on_error(&mut self, id: u64, message: &str) {
         if id == self.subscription {
-            warn!("platform: not subscribed: {message}");
-        } else if self.answered(id) {
-            self.platform.failed(match message {
+            warn!("platform: subscription rejected: {message}");
+        } else if self.remove_vote(id) {
+            self.platform.report_failed_vote(match message {
                 "Throttling" => ForwardOutcome::Rejected,
                 "ConditionFailed" => ForwardOutcome::Unsent,
                 _ => ForwardOutcome::Error,
@@ -364,9 +399,9 @@
     }
 
     fn on_notification(&mut self, method: &str, params: &Value) {
-        self.platform.heard(self.post);
-        if self.post.left.get() {
-            // The newer one tells it as well.
+        self.platform.mark_heard(self.endpoint);
+        if self.endpoint.retired.get() {
+            // The newer connection delivers it as well.
             return;
         }
         let number = |key: &str| params.get(key).and_then(Value::as_f64);
@@ -374,16 +409,16 @@
         let group = || text("class").and_then(|c| self.platform.groups.iter().position(|g| g == c));
         match method {
             "ping" => {}
-            // Only some platforms tell what they counted.
+            // Only some platforms report their counts.
             "metrics" => match (number("build"), group(), number("count"), number("failed")) {
-                (Some(build), Some(group), Some(n), Some(failed)) => {
-                    self.platform.inbox.news(News::Sums(build as u16, group, n as u32, failed as u32));
+                (Some(build), Some(group), Some(count), Some(failed)) => {
+                    self.platform.inbox.news(News::Sums(build as u16, group, count as u32, failed as u32));
                 }
-                _ => self.unread = Some("build, class, count or failed of metrics".into()),
+                _ => self.invalid = Some("invalid build, class, count or failed in metrics".into()),
             },
             "progress" => match parse_stage(params) {
                 Ok(stage) => self.platform.inbox.news(News::Stage(stage, None)),
-                Err(why) => self.unread = Some(why),
+                Err(why) => self.invalid = Some(why),
             },
             "complaint" => {
                 let age = number("age_ms").map(|ms| Span::from_seconds(ms.max(0.0) / 1e3));
@@ -391,13 +426,13 @@
                     (Some(node), Some(group), Some(age)) => {
                         self.platform.inbox.news(News::Flagged { node: node.to_owned(), group, age });
                     }
-                    _ => self.unread = Some("server, class or age_ms of a complaint".into()),
+                    _ => self.invalid = Some("invalid server, class or age_ms in complaint".into()),
                 }
             }
             other if other.bytes().all(|b| b.is_ascii_alphanumeric() || b"._".contains(&b)) => {
-                info!("platform: notification '{other}' is unknown, skipped");
+                info!("platform: skipping unknown notification '{other}'");
             }
-            _ => self.unread = Some("name of a notification".into()),
+            _ => self.invalid = Some("invalid method name of a notification".into()),
         }
     }
 }
