--- a/crates/marshal/tests/memory.rs
+++ b/crates/marshal/tests/memory.rs
@@ -1,4 +1,5 @@
-//! Pressure on one purpose stays where it arises: the program on loopback among clients and nodes that misbehave.
+//! Memory pressure on one purpose must not affect the others: the marshal's binary on loopback, with misbehaving
+//! clients and nodes.
 
 use std::ops::Deref;
 use std::path::Path;
@@ -16,313 +17,319 @@
 
 const MIB: usize = 1 << 20;
 
-/// A world that has the machine to itself: a story's floods would hold up the clients of the ones beside it.
-struct Alone {
+/// A test environment that runs by itself: the load of one test would delay the clients of others that ran beside it.
+struct ExclusiveWorld {
     world: World,
-    _turn: MutexGuard<'static, ()>,
+    _guard: MutexGuard<'static, ()>,
 }
 
-impl Deref for Alone {
+impl Deref for ExclusiveWorld {
     type Target = World;
     fn deref(&self) -> &World {
         &self.world
     }
 }
 
-fn alone(nodes: usize, limits: Limits, args: &[&str]) -> Alone {
-    static TURN: Mutex<()> = Mutex::new(());
-    let _turn = TURN.lock().unwrap_or_else(PoisonError::into_inner);
+fn exclusive_world(nodes: usize, limits: Limits, args: &[&str]) -> ExclusiveWorld {
+    static RUNNING: Mutex<()> = Mutex::new(());
+    let _guard = RUNNING.lock().unwrap_or_else(PoisonError::into_inner);
     let binary = Path::new(env!("CARGO_BIN_EXE_stonescale"));
-    Alone { world: World::start(binary, nodes, limits, &NodeBehavior::default(), args).unwrap(), _turn }
+    ExclusiveWorld {
+        world: World::start(binary, nodes, limits, &NodeBehavior::default(), args).unwrap(),
+        _guard,
+    }
 }
 
-fn world(memory_mb: usize, sockets: usize) -> Alone {
-    alone(4, Limits { memory_mb, sockets }, &[])
+fn world(memory_mb: usize, sockets: usize) -> ExclusiveWorld {
+    exclusive_world(4, Limits { memory_mb, sockets }, &[])
 }
 
-/// For so long trouble is kept up at least.
-const TROUBLE: Duration = Duration::from_millis(3_000);
-/// What does not come to hold within so long does not hold, on the slowest machine.
-const LONG: Duration = Duration::from_secs(20);
-/// Reads that are looked at together.
-const SOME: u64 = 50;
+/// Shortest time for which a fault is kept up.
+const FAULT_DURATION: Duration = Duration::from_millis(3_000);
+/// Time after which a condition counts as never reached, even on the slowest machine.
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
+/// Finished reads for which the share of delivered ones is computed.
+const SAMPLE_READS: u64 = 50;
 
-fn during(world: &World, span: Duration) -> usize {
+/// Waits for `span`; returns the most resident bytes meanwhile.
+fn peak_resident_during(world: &World, span: Duration) -> usize {
     let start = Instant::now();
     world.most_resident(|| start.elapsed() >= span)
 }
 
-/// Keeps on for `least`, and until of some reads that end one after another more than this share is delivered: a
-/// machine that was held up for a moment has further ones looked at. The load ends then; returns the most that was
-/// resident meanwhile.
-fn served(world: &World, load: &Load, share: f64, least: Duration) -> usize {
-    let (start, mut good, mut last) = (Instant::now(), false, String::new());
+/// Runs the load for at least `min_duration`, and until more than `min_share` of `SAMPLE_READS` consecutive reads is
+/// delivered; further samples are taken, as a machine that is briefly held up can spoil one. Then stops the load and
+/// returns the most resident bytes meanwhile.
+fn assert_served(world: &World, load: &Load, min_share: f64, min_duration: Duration) -> usize {
+    let (start, mut reached, mut sample) = (Instant::now(), false, String::new());
     load.take_stats();
-    let most = world.most_resident(|| {
+    let peak = world.most_resident(|| {
         let read = load.stats().swap_remove(READ);
         let ended = read.delivered + read.bounced + read.errored + read.unanswered;
-        if ended >= SOME {
-            good = read.delivered as f64 > share * ended as f64;
+        if ended >= SAMPLE_READS {
+            reached = read.delivered as f64 > min_share * ended as f64;
             let (bounced, errored) = (read.bounced, read.errored);
-            last = format!("{} of {ended} ({bounced} bounced, {errored} errored)", read.delivered);
+            sample = format!("{} of {ended} ({bounced} bounced, {errored} errored)", read.delivered);
             load.take_stats();
         }
-        start.elapsed() >= LONG || good && start.elapsed() >= least
+        start.elapsed() >= TEST_TIMEOUT || reached && start.elapsed() >= min_duration
     });
-    assert!(good, "delivered {last}");
+    assert!(reached, "delivered {sample}");
     load.finish();
-    most
+    peak
 }
 
-/// Usual clients are served as before, soon after the trouble.
-fn all_is_back(world: &World) {
+/// Ends the nodes' fault; well-behaved clients are served as before soon afterwards.
+fn assert_recovered(world: &World) {
     world.mood(FaultMode::Healthy);
     let reads = world.load(LoadPlan::reads(100.0, 9));
-    served(world, &reads, 0.95, Duration::ZERO);
+    assert_served(world, &reads, 0.95, Duration::ZERO);
 }
 
-// A flood of repeats under new marks, 40 KB each, while every node is silent.
+// Floods of tagged commands of 40 KB or more, each with a new dedup key, some of them against silent nodes.
 
 #[test]
-fn a_flood_meets_its_cap_and_all_is_back_after_it() {
+fn a_flood_is_limited_by_its_cap_and_service_recovers_after_it() {
     let world = world(32, 1024);
     world.mood(FaultMode::Silent);
     let flood = world.rogues(Misbehavior::Flood, 450, PUSH, 60_000);
-    let most = during(&world, TROUBLE);
+    let peak = peak_resident_during(&world, FAULT_DURATION);
     drop(flood);
-    assert!(most < 32 * MIB, "resident {most}");
-    all_is_back(&world);
+    assert!(peak < 32 * MIB, "resident {peak}");
+    assert_recovered(&world);
     assert_eq!(world.books.violation_report(), "");
 }
 
 #[test]
-fn readers_are_answered_as_before_while_a_flood_meets_silent_nodes() {
-    // Half of the nodes are silent: the flood stands in work for long, and its purpose is full.
+fn reads_are_served_while_a_flood_waits_for_silent_nodes() {
+    // Half of the nodes are silent, so that the flood's hits stay in flight for long and fill their purpose.
     let world = world(8, 1024);
     world.nodes[..2].iter().for_each(|n| n.set_fault_mode(FaultMode::Silent));
     let flood = world.rogues(Misbehavior::Flood, 150, PUSH, 40_000);
     std::thread::sleep(Duration::from_millis(1_000));
     let reads = world.load(LoadPlan::reads(100.0, 3));
-    let most = served(&world, &reads, 0.9, TROUBLE);
+    let peak = assert_served(&world, &reads, 0.9, FAULT_DURATION);
     drop(flood);
-    assert!(most < 8 * MIB, "resident {most}");
-    all_is_back(&world);
+    assert!(peak < 8 * MIB, "resident {peak}");
+    assert_recovered(&world);
     assert_eq!(world.books.violation_report(), "");
 }
 
 #[test]
-fn where_a_flood_holds_every_connection_the_others_have_their_turn() {
+fn other_clients_are_served_while_a_flood_holds_every_connection() {
     let world = world(32, 256);
     let flood = world.rogues(Misbehavior::Flood, 200, PUSH, 40_000);
     std::thread::sleep(Duration::from_millis(1_500));
     let reads = world.load(LoadPlan::reads(50.0, 3));
-    served(&world, &reads, 0.5, TROUBLE);
+    assert_served(&world, &reads, 0.5, FAULT_DURATION);
     drop(flood);
-    all_is_back(&world);
+    assert_recovered(&world);
 }
 
-// Clients that do not read, or do not finish.
+// Clients that do not read their replies, or do not complete their commands.
 
 #[test]
-fn clients_that_never_read_are_left_before_they_take_all_room() {
+fn clients_that_never_read_are_disconnected_before_memory_runs_out() {
     let world = world(8, 1024);
-    world.nodes.iter().for_each(|n| n.update_behavior(|m| m.value_bytes = 60_000));
-    let mutes = world.rogues(Misbehavior::NeverReads, 150, READ, 0);
-    let most = during(&world, TROUBLE);
-    drop(mutes);
-    assert!(most < 8 * MIB, "resident {most}");
-    all_is_back(&world);
+    world.nodes.iter().for_each(|n| n.update_behavior(|behavior| behavior.value_bytes = 60_000));
+    let never_reading = world.rogues(Misbehavior::NeverReads, 150, READ, 0);
+    let peak = peak_resident_during(&world, FAULT_DURATION);
+    drop(never_reading);
+    assert!(peak < 8 * MIB, "resident {peak}");
+    assert_recovered(&world);
 }
 
 #[test]
-fn half_commands_on_every_connection_leave_room_for_whole_ones() {
+fn incomplete_commands_leave_room_for_complete_ones() {
     let world = world(8, 1024);
-    let halves = world.rogues(Misbehavior::HalfCommand, 400, PUSH, 65_000);
+    let incomplete = world.rogues(Misbehavior::HalfCommand, 400, PUSH, 65_000);
     std::thread::sleep(Duration::from_millis(500));
     let reads = world.load(LoadPlan::reads(100.0, 3));
-    let most = served(&world, &reads, 0.9, TROUBLE);
-    drop(halves);
-    assert!(most < 8 * MIB, "resident {most}");
-    all_is_back(&world);
+    let peak = assert_served(&world, &reads, 0.9, FAULT_DURATION);
+    drop(incomplete);
+    assert!(peak < 8 * MIB, "resident {peak}");
+    assert_recovered(&world);
     assert_eq!(world.books.violation_report(), "");
 }
 
 #[test]
-fn values_of_all_nodes_at_once_for_clients_that_leave_stay_within_their_cap() {
-    let world = alone(128, Limits { memory_mb: 8, sockets: 1024 }, &[]);
-    world.nodes.iter().for_each(|n| n.update_behavior(|m| m.value_bytes = 65_000));
-    // Nothing can be passed on, as all lack their last byte; together they are more than the process may hold.
+fn simultaneous_values_of_all_nodes_for_disconnected_clients_stay_within_their_cap() {
+    let world = exclusive_world(128, Limits { memory_mb: 8, sockets: 1024 }, &[]);
+    world.nodes.iter().for_each(|n| n.update_behavior(|behavior| behavior.value_bytes = 65_000));
+    // No value can be forwarded, as each lacks its last byte; together they exceed the memory limit of the process.
     world.mood(FaultMode::WithholdingLastByte);
-    let stayers = world.rogues(Misbehavior::StaysIdle, 500, READ, 0);
-    let come = || world.nodes.iter().map(|n| n.commands_received()).sum::<u64>() > 200;
-    assert!(wait_until(LONG, come), "hits come to the nodes");
-    during(&world, TROUBLE / 10);
-    drop(stayers);
-    all_is_back(&world);
+    let idle_clients = world.rogues(Misbehavior::StaysIdle, 500, READ, 0);
+    let hits_arrived = || world.nodes.iter().map(|n| n.commands_received()).sum::<u64>() > 200;
+    assert!(wait_until(TEST_TIMEOUT, hits_arrived), "hits reach the nodes");
+    peak_resident_during(&world, FAULT_DURATION / 10);
+    drop(idle_clients);
+    assert_recovered(&world);
     let peak = world.program.sample().unwrap().peak;
     assert!(peak < 8 * MIB, "peak {peak}");
 }
 
-// A node that takes connections and never reads.
+// A node that accepts connections and never reads.
 
 #[test]
-fn what_one_node_does_not_read_takes_nothing_from_the_others() {
+fn unread_output_for_one_node_does_not_affect_the_others() {
     let world = world(8, 256);
     world.nodes[0].set_fault_mode(FaultMode::NotReading);
     let flood = world.rogues(Misbehavior::Flood, 40, PUSH, 40_000);
     let reads = world.load(LoadPlan::reads(100.0, 3));
     std::thread::sleep(Duration::from_millis(500));
-    let most = served(&world, &reads, 0.9, TROUBLE);
+    let peak = assert_served(&world, &reads, 0.9, FAULT_DURATION);
     drop(flood);
-    assert!(most < 8 * MIB, "resident {most}");
-    all_is_back(&world);
+    assert!(peak < 8 * MIB, "resident {peak}");
+    assert_recovered(&world);
     assert_eq!(world.books.violation_report(), "");
 }
 
 #[test]
-fn hits_that_could_wait_for_minutes_leave_nothing_behind_once_they_are_answered() {
+fn answered_hits_with_long_deadlines_leave_no_memory_behind() {
     let world = world(8, 256);
-    let quick = world.patient_rogues(Misbehavior::Flood, 40, READ, 0, Duration::from_secs(600));
+    let flood = world.patient_rogues(Misbehavior::Flood, 40, READ, 0, Duration::from_secs(600));
     std::thread::sleep(Duration::from_millis(500));
     let before = world.program.sample().unwrap().resident;
-    let answered = || quick.answered.load(std::sync::atomic::Ordering::Relaxed);
-    let first = answered();
-    let most = world.most_resident(|| answered() - first > 30_000);
-    assert!(most < before + MIB, "resident {before}, then {most}");
+    let answered = || flood.answered.load(std::sync::atomic::Ordering::Relaxed);
+    let answered_before = answered();
+    let peak = world.most_resident(|| answered() - answered_before > 30_000);
+    assert!(peak < before + MIB, "resident {before}, then {peak}");
 }
 
-// Lists of nodes, long and ever new.
+// Long and ever new node lists.
 
-fn strangers(ids: std::ops::Range<usize>, state: &str) -> Vec<Entry> {
+fn unreachable_nodes(ids: std::ops::Range<usize>, state: &str) -> Vec<Entry> {
     let addr = ([127, 0, 0, 1], 9).into();
     let entry = |id| Entry { state: state.into(), ..Entry::up(&format!("stranger-{id}"), addr, 3) };
     ids.map(entry).collect()
 }
 
 #[test]
-fn a_list_of_ten_thousand_nodes_is_taken_as_far_as_there_is_room_and_hits_go_on() {
+fn a_list_of_ten_thousand_nodes_is_taken_up_to_the_cap_and_hits_are_still_served() {
     let world = world(32, 256);
     let reads = world.load(LoadPlan::reads(100.0, 3));
-    world.discovery.publish(strangers(0..10_000, "draining"));
-    let line = world.program.logged("are left out", LONG).unwrap();
+    world.discovery.publish(unreachable_nodes(0..10_000, "draining"));
+    let line = world.program.logged("are left out", TEST_TIMEOUT).unwrap();
     assert!(line.contains("nodes of the list"), "{line}");
-    let most = served(&world, &reads, 0.95, TROUBLE / 2);
-    assert!(most < 32 * MIB, "resident {most}");
+    let peak = assert_served(&world, &reads, 0.95, FAULT_DURATION / 2);
+    assert!(peak < 32 * MIB, "resident {peak}");
     assert_eq!(world.books.violation_report(), "");
 }
 
 #[test]
-fn a_line_without_end_and_lists_ever_new_leave_memory_flat() {
+fn an_endless_line_and_ever_new_lists_do_not_grow_memory() {
     let world = world(8, 256);
     let reads = world.load(LoadPlan::reads(100.0, 3));
-    // A node's number is free again some seconds after it is gone: lists of a few hundred names a second.
+    // A node's index is free again only some seconds after the node is gone, so the lists bring no more than a few
+    // hundred ids a second.
     let round = |number: usize| {
         let ids = number * 100..number * 100 + 100;
-        world.discovery.publish(strangers(ids.clone(), "draining"));
-        world.discovery.publish(strangers(ids, "removed"));
+        world.discovery.publish(unreachable_nodes(ids.clone(), "draining"));
+        world.discovery.publish(unreachable_nodes(ids, "removed"));
         std::thread::sleep(Duration::from_millis(100));
     };
     (0..40).for_each(round);
     let before = world.program.sample().unwrap().resident;
     (40..80).for_each(round);
     world.discovery.send_raw(Some("x".repeat(6 << 20)));
-    let most = served(&world, &reads, 0.95, TROUBLE / 2);
-    assert!(most < before + MIB, "resident {before}, then {most}");
+    let peak = assert_served(&world, &reads, 0.95, FAULT_DURATION / 2);
+    assert!(peak < before + MIB, "resident {before}, then {peak}");
 }
 
-// What operators see and set.
+// What operators see and configure.
 
-fn world_with(operator: &str) -> (Alone, std::path::PathBuf) {
+fn world_with(operator: &str) -> (ExclusiveWorld, std::path::PathBuf) {
     let path = fresh_path("ini");
     std::fs::write(&path, operator).unwrap();
     let args = ["--operator", path.to_str().unwrap()];
-    (alone(2, Limits { memory_mb: 8, sockets: 256 }, &args), path)
+    (exclusive_world(2, Limits { memory_mb: 8, sockets: 256 }, &args), path)
 }
 
 #[test]
-fn on_sigusr1_every_purpose_is_reported_with_what_it_holds() {
+fn sigusr1_logs_the_account_of_every_purpose() {
     let (world, _path) = world_with("[memory]\nreport_every = 0\n[log]\nlines_per_second = 1000\n");
     world.program.signal("USR1");
-    let line = world.program.logged("memory of the process", LONG).unwrap();
+    let line = world.program.logged("memory of the process", TEST_TIMEOUT).unwrap();
     assert!(line.contains("resident=") && line.contains("unaccounted="), "{line}");
     for purpose in ["clients", "halves", "owed", "log", "work.read", "work.book"] {
-        let line = world.program.logged(&format!("purpose=\"{purpose}\""), LONG).unwrap();
+        let line = world.program.logged(&format!("purpose=\"{purpose}\""), TEST_TIMEOUT).unwrap();
         let fields = ["held=", "cap=", "reserve=", "high=", "refusals=", "reclaimed=", "level=\"easy\""];
         assert!(fields.iter().all(|f| line.contains(f)), "{line}");
     }
 }
 
 #[test]
-fn the_report_comes_by_itself_as_json_where_the_operator_wants_it() {
+fn the_periodic_report_is_logged_as_json_if_configured() {
     let (world, _path) =
         world_with("[memory]\nreport_every = 250ms\n[log]\nformat = json\nlines_per_second = 1000\n");
-    let line = world.program.logged("memory by purpose", LONG).unwrap();
+    let line = world.program.logged("memory by purpose", TEST_TIMEOUT).unwrap();
     let event: serde_json::Value = serde_json::from_str(&line).unwrap();
     assert_eq!(event["purpose"], "clients");
     assert!(event["cap"].as_u64() > Some(0) && event["level"] == "easy", "{line}");
 }
 
 #[test]
-fn a_change_of_level_is_told_and_a_reserve_under_pressure_stays_its_owners() {
+fn a_level_change_is_logged_and_reverts_once_the_pressure_ends() {
     let (world, _path) = world_with("[memory.halves]\ncap = 8%\n");
-    let halves = world.rogues(Misbehavior::HalfCommand, 40, PUSH, 65_000);
-    let line = world.program.logged("memory level", LONG).unwrap();
+    let incomplete = world.rogues(Misbehavior::HalfCommand, 40, PUSH, 65_000);
+    let line = world.program.logged("memory level", TEST_TIMEOUT).unwrap();
     assert!(line.contains("purpose=\"halves\"") && line.contains("from=\"easy\""), "{line}");
-    drop(halves);
-    let back = || world.program.logged("to=\"easy\"", LONG).unwrap();
-    while !back().contains("purpose=\"halves\"") {}
+    drop(incomplete);
+    let next_recovery = || world.program.logged("to=\"easy\"", TEST_TIMEOUT).unwrap();
+    while !next_recovery().contains("purpose=\"halves\"") {}
 }
 
-/// Waits until a report tells that this purpose gave something back under pressure.
-fn gives_back(world: &World, purpose: &str) {
+/// Waits until a report shows that this purpose reclaimed something under pressure.
+fn assert_reclaims(world: &World, purpose: &str) {
     let named = format!("memory by purpose purpose=\"{purpose}\"");
-    let line = || world.program.logged(&named, LONG).unwrap();
-    assert!(wait_until(LONG, || !line().contains(" reclaimed=0 ")), "{purpose}");
+    let line = || world.program.logged(&named, TEST_TIMEOUT).unwrap();
+    assert!(wait_until(TEST_TIMEOUT, || !line().contains(" reclaimed=0 ")), "{purpose}");
 }
 
-const OFTEN: &str = "[memory]\nreport_every = 250ms\n[log]\nlines_per_second = 1000\n";
+const FREQUENT_REPORTS: &str = "[memory]\nreport_every = 250ms\n[log]\nlines_per_second = 1000\n";
 
 #[test]
-fn where_connections_run_short_idle_clients_are_closed_before_none_can_be_taken() {
-    // 144 are the most that are taken; a connection that says nothing is left by itself after 2.5 s.
-    let (world, _path) = world_with(OFTEN);
-    let _mutes = world.rogues(Misbehavior::Mute, 120, READ, 0);
-    gives_back(&world, "clients");
+fn idle_clients_are_closed_before_connections_run_out() {
+    // At most 144 connections are accepted; a silent one is closed anyway after 2.5 s.
+    let (world, _path) = world_with(FREQUENT_REPORTS);
+    let _silent_clients = world.rogues(Misbehavior::Mute, 120, READ, 0);
+    assert_reclaims(&world, "clients");
 }
 
 #[test]
-fn where_nodes_run_short_those_that_are_gone_are_forgotten_before_any_is_left_out() {
-    let (world, _path) = world_with(OFTEN);
-    // Of 2,048 at most; in two lists, as one would take the room that the nodes are to fill.
-    world.discovery.publish(strangers(0..950, "removed"));
-    world.discovery.publish(strangers(950..1_900, "removed"));
-    gives_back(&world, "nodes");
+fn gone_nodes_are_evicted_before_listed_nodes_are_left_out() {
+    let (world, _path) = world_with(FREQUENT_REPORTS);
+    // At most 2,048 nodes are held. Two lists are sent, as a single one would use up the memory that the nodes are
+    // to fill.
+    world.discovery.publish(unreachable_nodes(0..950, "removed"));
+    world.discovery.publish(unreachable_nodes(950..1_900, "removed"));
+    assert_reclaims(&world, "nodes");
 }
 
 #[test]
-fn sighup_takes_the_operators_file_whole_or_not_at_all() {
+fn sighup_applies_the_operators_file_completely_or_not_at_all() {
     let (world, path) = world_with("[memory]\nreport_every = 0\n");
     std::fs::write(&path, "[memory]\nreport_every = 250ms\n[memory.hats]\ncap = 1%\n").unwrap();
     world.program.signal("HUP");
-    let line = world.program.logged("it is faulty", LONG).unwrap();
+    let line = world.program.logged("it is faulty", TEST_TIMEOUT).unwrap();
     assert!(line.contains("[memory.hats] is no section here") && line.contains("line 3"), "{line}");
     std::fs::write(&path, "[memory]\nreport_every = 250ms\n[log]\nformat = json\n").unwrap();
     world.program.signal("HUP");
-    let line = world.program.logged("needing a new start", LONG).unwrap();
+    let line = world.program.logged("needing a new start", TEST_TIMEOUT).unwrap();
     assert!(line.contains("[log] format"), "{line}");
-    world.program.logged("memory by purpose", LONG).unwrap();
+    world.program.logged("memory by purpose", TEST_TIMEOUT).unwrap();
 }
 
-// Many commands on one connection, with large values that wait for the first.
+// Pipelined commands with large values, of which the first is not answered.
 
 #[test]
-fn values_that_wait_for_one_before_them_are_given_in_order_or_errored_where_they_have_no_room() {
+fn pipelined_values_are_returned_in_order_or_errored_if_there_is_no_room() {
     use std::io::{BufRead, BufReader, Read, Write};
     let world = world(8, 256);
-    world.nodes.iter().for_each(|n| n.update_behavior(|m| m.value_bytes = 60_000));
+    world.nodes.iter().for_each(|n| n.update_behavior(|behavior| behavior.value_bytes = 60_000));
     world.nodes.iter().for_each(|n| n.script([ScriptedReply::NoReply]));
     let mut stream = std::net::TcpStream::connect(world.program.addr).unwrap();
-    stream.set_read_timeout(Some(LONG)).unwrap();
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     let ids: Vec<_> = (0..60).map(|n| format!("{n:016x}")).collect();
     for id in &ids {
         let command = wire::encode_command(&[b"SVC.QUERY", b"7f3a", id.as_bytes(), b"c=read,t=acme,d=900"]);
@@ -336,13 +343,13 @@
         if let Some(length) = line.strip_prefix('$') {
             let mut value = vec![0; length.trim_end().parse::<usize>().unwrap() + 2];
             answers.read_exact(&mut value).unwrap();
-            assert!(value.starts_with(id.as_bytes()), "the value of another hit, for {id}");
+            assert!(value.starts_with(id.as_bytes()), "value of another hit, for {id}");
             values += 1;
         } else {
             assert!(line.starts_with("-ERR failed") || line.starts_with("-BUSY"), "{line}");
         }
     }
-    assert!(values > 0, "no value at all");
+    assert!(values > 0, "no value was returned");
     assert!(world.program.sample().unwrap().resident < 8 * MIB);
-    all_is_back(&world);
+    assert_recovered(&world);
 }
--- a/crates/marshal/tests/sockets.rs
+++ b/crates/marshal/tests/sockets.rs
@@ -1,4 +1,5 @@
-//! The real program on loopback, against small stand-ins written from the operators' protocol page.
+//! End-to-end tests: the marshal's binary on loopback sockets, against fake nodes, a fake discovery and a fake
+//! platform that follow the operators' protocol page.
 
 use rstest::rstest;
 use serde_json::{Value, json};
@@ -17,38 +18,38 @@
 use stonescale_lab::program::{Program, fresh_path};
 use stonescale_lab::runtime::{next_within, wait_until};
 
-/// Longer than anything here takes; a story that waits for so long has failed.
-const LONG: Duration = Duration::from_secs(20);
+/// Longer than any step takes; a test that waits for so long has failed.
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// All stories' stand-ins.
-static STAGE: LazyLock<Runtime> = LazyLock::new(Runtime::default);
+/// Runs the fake nodes, discoveries and platforms of all tests.
+static RUNTIME: LazyLock<Runtime> = LazyLock::new(Runtime::default);
 
-fn books() -> SharedChecker {
+fn checker() -> SharedChecker {
     SharedChecker::new(Checker::new(Bounds::default(), 0.1))
 }
 
-/// A node that does `first` with its first command and serves all others.
-fn node(first: impl IntoIterator<Item = ScriptedReply>) -> Node {
-    let node = Node::start(&STAGE, "s-0", 0, NodeBehavior::default(), books());
-    node.script(first);
+/// A node that treats its first commands as `script` says and serves all others.
+fn scripted_node(script: impl IntoIterator<Item = ScriptedReply>) -> Node {
+    let node = Node::start(&RUNTIME, "s-0", 0, NodeBehavior::default(), checker());
+    node.script(script);
     node
 }
 
-fn serving() -> Node {
-    node([])
+fn healthy_node() -> Node {
+    scripted_node([])
 }
 
-fn say(text: &str) -> ScriptedReply {
+fn reply(text: &str) -> ScriptedReply {
     ScriptedReply::Send(text.into())
 }
 
-fn say_and_close(text: &str) -> ScriptedReply {
+fn reply_and_close(text: &str) -> ScriptedReply {
     ScriptedReply::SendAndClose(text.into())
 }
 
-/// The words of the next command that a node gets; none at a connection's end.
-fn told(node: &Node) -> Vec<String> {
-    next_within(&node.received, LONG).unwrap()
+/// The arguments of the next command that the node receives; empty where a connection ends instead.
+fn next_command(node: &Node) -> Vec<String> {
+    next_within(&node.received, TEST_TIMEOUT).unwrap()
 }
 
 const BUILD: u16 = 4;
@@ -83,7 +84,7 @@
         "known": known, "settings": settings()})
 }
 
-/// A marshal that serves, until the story ends.
+/// A running marshal with its discovery and platform; it is stopped when dropped.
 struct Marshal {
     program: Program,
     config: Value,
@@ -96,12 +97,12 @@
         Self::start_with(nodes, |_| ())
     }
 
-    fn start_with(nodes: &[&Node], change: impl Fn(&mut Value)) -> Self {
-        let discovery = Discovery::start(&STAGE, books());
-        let platform = Platform::start(&STAGE, BuildStatus::live(BUILD), books());
+    fn start_with(nodes: &[&Node], edit_config: impl Fn(&mut Value)) -> Self {
+        let discovery = Discovery::start(&RUNTIME, checker());
+        let platform = Platform::start(&RUNTIME, BuildStatus::live(BUILD), checker());
         discovery.publish(nodes.iter().enumerate().map(|(id, node)| entry(id, node, "up")));
         let mut config = config(discovery.full_list(), discovery.addr, platform.addr);
-        change(&mut config);
+        edit_config(&mut config);
         let env = [("NODE_DISCOVERY", &*discovery.addr.to_string())];
         let binary = Path::new(env!("CARGO_BIN_EXE_stonescale"));
         let program = Program::start_in(binary, &config, &[], &env).unwrap();
@@ -110,41 +111,41 @@
 
     fn client(&self) -> Client {
         let stream = TcpStream::connect(self.program.addr).unwrap();
-        stream.set_read_timeout(Some(LONG)).unwrap();
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         Client(BufReader::new(stream))
     }
 
-    /// Has it read `text` as its configuration; waits for the log to say `word`.
-    fn reread(&self, text: &str, word: &str) -> String {
+    /// Writes `text` to the configuration file, sends SIGHUP and returns the next log line that contains `pattern`.
+    fn reload_config(&self, text: &str, pattern: &str) -> String {
         std::fs::write(&self.program.config, text).unwrap();
         self.program.signal("HUP");
-        self.logged(word)
+        self.wait_for_log(pattern)
     }
 
-    fn logged(&self, word: &str) -> String {
-        self.program.logged(word, LONG).unwrap()
+    fn wait_for_log(&self, pattern: &str) -> String {
+        self.program.logged(pattern, TEST_TIMEOUT).unwrap()
     }
 }
 
 struct Client(BufReader<TcpStream>);
 
 impl Client {
-    fn send(&mut self, words: &[&str]) {
-        let mut text = format!("*{}\r\n", words.len());
-        words.iter().for_each(|w| text += &format!("${}\r\n{w}\r\n", w.len()));
+    fn send(&mut self, arguments: &[&str]) {
+        let mut text = format!("*{}\r\n", arguments.len());
+        arguments.iter().for_each(|argument| text += &format!("${}\r\n{argument}\r\n", argument.len()));
         self.0.get_mut().write_all(text.as_bytes()).unwrap();
     }
 
-    fn read(&mut self) {
+    fn send_query(&mut self) {
         self.send(&["SVC.QUERY", "7f3a", "9b1f", "c=read,t=acme,d=900"]);
     }
 
-    fn book(&mut self) {
+    fn send_submit(&mut self) {
         self.send(&["SVC.SUBMIT", "7f3a", "9b1f", "c=book,t=acme,d=900,x=1", "BODY"]);
     }
 
-    /// The next answer, a bulk string with its text; empty at the connection's end.
-    fn answer(&mut self) -> String {
+    /// The next reply; of a bulk string, header and value. Empty once the connection has ended.
+    fn read_reply(&mut self) -> String {
         let mut text = String::new();
         self.0.read_line(&mut text).unwrap();
         if let Some(length) = text.strip_prefix('$').and_then(|t| t.trim_end().parse::<usize>().ok()) {
@@ -155,57 +156,61 @@
         text
     }
 
-    fn ask(&mut self) -> String {
-        self.book();
-        self.answer()
+    fn submit(&mut self) -> String {
+        self.send_submit();
+        self.read_reply()
     }
 }
 
-const SERVED: &str = "$7\r\n9b1f...\r\n";
-/// A node's value with a line's end in it, and as the client is given it.
-const VALUE: &str = "*3\r\n$7\r\nva\r\nlue\r\n$-1\r\n$10\r\ninflight=1\r\n";
-const GIVEN: &str = "$7\r\nva\r\nlue\r\n";
+const SERVED_REPLY: &str = "$7\r\n9b1f...\r\n";
+/// A node's reply with a line break in its value, and the reply that the client gets for it.
+const NODE_REPLY: &str = "*3\r\n$7\r\nva\r\nlue\r\n$-1\r\n$10\r\ninflight=1\r\n";
+const CLIENT_REPLY: &str = "$7\r\nva\r\nlue\r\n";
 
 // ---- Clients ----
 
 #[rstest]
-fn a_hit_passes_unchanged_but_for_its_wait_and_its_value_comes_as_the_node_sent_it() {
-    let node = serving();
+fn a_hit_is_forwarded_with_only_its_deadline_reduced_and_the_value_is_returned_unchanged() {
+    let node = healthy_node();
     let marshal = Marshal::start(&[&node]);
     let mut client = marshal.client();
     client.send(&["PING"]);
-    assert_eq!(client.answer(), "+PONG\r\n");
-    node.script([say(VALUE)]);
-    assert_eq!(client.ask(), GIVEN);
-    let words = told(&node);
-    assert_eq!([&words[..3], &words[4..]].concat(), ["SVC.SUBMIT", "7f3a", "9b1f", "BODY"]);
-    let wait = words[3].strip_prefix("c=book,t=acme,d=").and_then(|t| t.strip_suffix(",x=1")).unwrap();
-    assert!((500..=900).contains(&wait.parse::<u32>().unwrap()), "{wait}");
+    assert_eq!(client.read_reply(), "+PONG\r\n");
+    node.script([reply(NODE_REPLY)]);
+    assert_eq!(client.submit(), CLIENT_REPLY);
+    let arguments = next_command(&node);
+    assert_eq!([&arguments[..3], &arguments[4..]].concat(), ["SVC.SUBMIT", "7f3a", "9b1f", "BODY"]);
+    let deadline_ms =
+        arguments[3].strip_prefix("c=book,t=acme,d=").and_then(|t| t.strip_suffix(",x=1")).unwrap();
+    assert!((500..=900).contains(&deadline_ms.parse::<u32>().unwrap()), "{deadline_ms}");
 }
 
 #[rstest]
-fn commands_written_at_once_start_at_once_and_are_answered_in_order() {
-    let node = node([ScriptedReply::ServeAfterNextCommand]);
+fn pipelined_commands_run_concurrently_and_are_answered_in_order() {
+    let node = scripted_node([ScriptedReply::ServeAfterNextCommand]);
     let marshal = Marshal::start(&[&node]);
     let mut client = marshal.client();
-    client.book();
-    client.read();
+    client.send_submit();
+    client.send_query();
     client.send(&["PING"]);
-    let mut got: Vec<_> = (0..2).map(|_| told(&node)[0].clone()).collect();
+    let mut got: Vec<_> = (0..2).map(|_| next_command(&node)[0].clone()).collect();
     got.sort();
     assert_eq!(got, ["SVC.QUERY", "SVC.SUBMIT"]);
-    assert_eq!([client.answer(), client.answer(), client.answer()], [SERVED, SERVED, "+PONG\r\n"]);
+    assert_eq!(
+        [client.read_reply(), client.read_reply(), client.read_reply()],
+        [SERVED_REPLY, SERVED_REPLY, "+PONG\r\n"]
+    );
 }
 
 #[rstest]
-fn a_client_that_leaves_has_its_forward_called_off() {
-    let node = node([ScriptedReply::NoReply]);
+fn the_forward_of_a_disconnected_client_is_cancelled() {
+    let node = scripted_node([ScriptedReply::NoReply]);
     let marshal = Marshal::start(&[&node]);
     let mut client = marshal.client();
-    client.book();
-    assert!(!told(&node).is_empty());
+    client.send_submit();
+    assert!(!next_command(&node).is_empty());
     drop(client);
-    assert!(told(&node).is_empty(), "its connection is closed");
+    assert!(next_command(&node).is_empty(), "its connection is closed");
 }
 
 #[rstest]
@@ -214,79 +219,81 @@
 #[case::group(&["SVC.QUERY", "k", "1", "c=other,t=acme,d=9"], "unknown class")]
 #[case::no_group(&["SVC.QUERY", "k", "1", "t=acme,d=9"], "c is missing")]
 #[case::tenant(&["SVC.QUERY", "k", "1", "c=read,t=other,d=9"], "unknown tenant")]
-#[case::no_wait(&["SVC.QUERY", "k", "1", "c=read,t=acme"], "d is missing")]
-#[case::odd_wait(&["SVC.QUERY", "k", "1", "c=read,t=acme,d=-9"], "d is not a wait")]
+#[case::no_deadline(&["SVC.QUERY", "k", "1", "c=read,t=acme"], "d is missing")]
+#[case::negative_deadline(&["SVC.QUERY", "k", "1", "c=read,t=acme,d=-9"], "d is not a wait")]
 #[case::no_key(&["SVC.SUBMIT", "k", "1", "c=push,t=acme,d=9", "BODY"], "k is missing")]
-#[case::wrong_command(&["SVC.QUERY", "k", "1", "c=book,t=acme,d=9"], "does not serve")]
-fn a_wrong_command_is_told_so_and_the_connection_goes_on(#[case] words: &[&str], #[case] why: &str) {
-    let node = serving();
+#[case::command_of_another_group(&["SVC.QUERY", "k", "1", "c=book,t=acme,d=9"], "does not serve")]
+fn an_invalid_command_gets_an_error_and_the_connection_stays_open(
+    #[case] arguments: &[&str], #[case] error: &str,
+) {
+    let node = healthy_node();
     let marshal = Marshal::start(&[&node]);
     let mut client = marshal.client();
-    client.send(words);
-    let answer = client.answer();
-    assert!(answer.starts_with("-ERR ") && answer.contains(why), "{answer}");
-    client.read();
-    assert_eq!(client.answer(), SERVED);
-    assert_eq!(told(&node)[1], "7f3a", "nothing else was forwarded");
+    client.send(arguments);
+    let reply = client.read_reply();
+    assert!(reply.starts_with("-ERR ") && reply.contains(error), "{reply}");
+    client.send_query();
+    assert_eq!(client.read_reply(), SERVED_REPLY);
+    assert_eq!(next_command(&node)[1], "7f3a", "the invalid command was not forwarded");
 }
 
 #[rstest]
 #[case::inline("PING\r\n")]
-#[case::huge("*1\r\n$99999999\r\n")]
+#[case::excessive_length("*1\r\n$99999999\r\n")]
 #[case::null("*1\r\n$-1\r\n")]
-#[case::nothing("*0\r\n")]
-fn lost_framing_is_told_and_ends_the_connection(#[case] text: &str) {
+#[case::empty_array("*0\r\n")]
+fn a_framing_error_is_reported_and_closes_the_connection(#[case] text: &str) {
     let marshal = Marshal::start(&[]);
     let mut client = marshal.client();
     client.0.get_mut().write_all(text.as_bytes()).unwrap();
-    assert!(client.answer().starts_with("-ERR protocol error"));
-    assert_eq!(client.answer(), "");
+    assert!(client.read_reply().starts_with("-ERR protocol error"));
+    assert_eq!(client.read_reply(), "");
 }
 
 #[rstest]
 #[case::silent("", "")]
-#[case::half_a_command("*2\r\n$4\r\nPI", "-ERR protocol error: command not ended in time\r\n")]
-#[case::half_a_line("*", "-ERR protocol error: command not ended in time\r\n")]
-fn who_sends_no_whole_command_is_told_so_or_left_within_3_s(#[case] text: &str, #[case] expected: &str) {
+#[case::incomplete_command("*2\r\n$4\r\nPI", "-ERR protocol error: command not ended in time\r\n")]
+#[case::incomplete_line("*", "-ERR protocol error: command not ended in time\r\n")]
+fn a_connection_without_a_complete_command_is_closed_within_3_s(#[case] text: &str, #[case] expected: &str) {
     let marshal = Marshal::start(&[]);
     let mut client = marshal.client();
     let start = Instant::now();
     client.0.get_mut().write_all(text.as_bytes()).unwrap();
-    assert_eq!(client.answer(), expected);
+    assert_eq!(client.read_reply(), expected);
     assert!(start.elapsed() < Duration::from_secs(3), "{:?}", start.elapsed());
 }
 
 #[rstest]
-fn a_client_that_falls_idle_is_left_after_a_while() {
-    let node = serving();
+fn an_idle_client_connection_is_closed_after_a_timeout() {
+    let node = healthy_node();
     let marshal = Marshal::start(&[&node]);
     let mut client = marshal.client();
-    assert_eq!(client.ask(), SERVED);
-    assert_eq!(client.answer(), "", "its descriptor is for others");
+    assert_eq!(client.submit(), SERVED_REPLY);
+    assert_eq!(client.read_reply(), "", "the idle connection is closed");
 }
 
 #[rstest]
-fn in_a_crowd_the_longest_idle_client_makes_room_before_its_time() {
-    let node = serving();
-    let few = |config: &mut Value| config["limits"]["sockets"] = json!(80);
-    let marshal = Marshal::start_with(&[&node], few);
+fn with_many_connections_the_longest_idle_one_is_closed_before_its_timeout() {
+    let node = healthy_node();
+    let few_sockets = |config: &mut Value| config["limits"]["sockets"] = json!(80);
+    let marshal = Marshal::start_with(&[&node], few_sockets);
     let start = Instant::now();
-    let ask = || {
+    let connect_and_submit = || {
         let mut client = marshal.client();
-        assert_eq!(client.ask(), SERVED);
+        assert_eq!(client.submit(), SERVED_REPLY);
         client
     };
-    let mut clients: Vec<_> = (0..20).map(|_| ask()).collect();
+    let mut clients: Vec<_> = (0..20).map(|_| connect_and_submit()).collect();
     thread::sleep(Duration::from_millis(600));
-    clients.push(ask());
-    assert_eq!(clients[0].answer(), "");
+    clients.push(connect_and_submit());
+    assert_eq!(clients[0].read_reply(), "");
     assert!(start.elapsed() < Duration::from_millis(1_900), "{:?}", start.elapsed());
-    assert_eq!(clients[19].ask(), SERVED, "those used last stay");
+    assert_eq!(clients[19].submit(), SERVED_REPLY, "recently used connections stay open");
 }
 
 #[rstest]
-fn who_sends_without_end_does_not_keep_the_others_from_their_turn() {
-    let node = serving();
+fn clients_that_send_continuously_do_not_starve_the_others() {
+    let node = healthy_node();
     let marshal = Marshal::start(&[&node]);
     for _ in 0..4 {
         let stream = TcpStream::connect(marshal.program.addr).unwrap();
@@ -296,180 +303,182 @@
     }
     let mut client = marshal.client();
     for _ in 0..20 {
-        assert_eq!(client.ask(), SERVED);
+        assert_eq!(client.submit(), SERVED_REPLY);
     }
 }
 
 #[rstest]
-fn memory_stays_flat_over_connections_nodes_and_builds() {
-    let node = serving();
-    let short = |config: &mut Value| config["settings"]["limits"]["keepalive_ns"] = json!(200_000_000);
-    let marshal = Marshal::start_with(&[&node], short);
+fn memory_does_not_grow_over_connections_nodes_and_builds() {
+    let node = healthy_node();
+    let short_keepalive =
+        |config: &mut Value| config["settings"]["limits"]["keepalive_ns"] = json!(200_000_000);
+    let marshal = Marshal::start_with(&[&node], short_keepalive);
     let round = |round: usize| {
         for part in 0..20 {
             let mut client = marshal.client();
-            client.read();
-            assert_eq!(client.answer(), SERVED);
+            client.send_query();
+            assert_eq!(client.read_reply(), SERVED_REPLY);
             client.0.get_mut().write_all(b"*2\r\n$60000\r\nhalf of it").unwrap();
             for state in ["up", "removed"] {
-                let one = |number| Entry {
+                let numbered = |number| Entry {
                     build: 100 + round as u16,
                     ..entry(1_000_000 * round + 1_000 * part + number, &node, state)
                 };
-                marshal.discovery.publish((0..200).map(one));
+                marshal.discovery.publish((0..200).map(numbered));
             }
-            // A second has the sweep in it twice.
+            // The 20 parts take a second, in which the marshal drops idle connections and gone nodes twice.
             thread::sleep(Duration::from_millis(50));
         }
         let status = std::fs::read_to_string(format!("/proc/{}/status", marshal.program.pid())).unwrap();
         let line = status.lines().find(|l| l.starts_with("RssAnon:")).unwrap();
         line.split_whitespace().nth(1).unwrap().parse::<usize>().unwrap()
     };
-    let used: Vec<usize> = (1..7).map(round).collect();
-    assert!(used[5] < used[1] + 1_000, "kB after each round: {used:?}");
+    let resident_kb: Vec<usize> = (1..7).map(round).collect();
+    assert!(resident_kb[5] < resident_kb[1] + 1_000, "kB after each round: {resident_kb:?}");
 }
 
-// ---- Nodes: every ending ----
+// ---- Nodes: each outcome of a forward ----
 
 #[rstest]
-#[case::failed(say("-ERR failed inflight=1\r\n"), "-ERR failed\r\n")]
-#[case::turned_away(say("-BUSY\r\n"), SERVED)]
-#[case::closed(say_and_close(""), "-ERR failed\r\n")]
-#[case::half_a_value(say_and_close("*3\r\n$7\r\nva"), "-ERR failed\r\n")]
-#[case::null(say("*3\r\n$-1\r\n$-1\r\n$-1\r\n"), "-ERR failed\r\n")]
-#[case::garbage(say("what?\r\n"), "-ERR failed\r\n")]
-#[case::too_long(say("*1\r\n$65537\r\n"), "-ERR failed\r\n")]
+#[case::failed(reply("-ERR failed inflight=1\r\n"), "-ERR failed\r\n")]
+#[case::busy(reply("-BUSY\r\n"), SERVED_REPLY)]
+#[case::closed(reply_and_close(""), "-ERR failed\r\n")]
+#[case::incomplete_value(reply_and_close("*3\r\n$7\r\nva"), "-ERR failed\r\n")]
+#[case::null(reply("*3\r\n$-1\r\n$-1\r\n$-1\r\n"), "-ERR failed\r\n")]
+#[case::garbage(reply("what?\r\n"), "-ERR failed\r\n")]
+#[case::too_long(reply("*1\r\n$65537\r\n"), "-ERR failed\r\n")]
 #[case::silent(ScriptedReply::NoReply, "-ERR failed\r\n")]
-fn a_mutating_hit_goes_again_only_if_it_never_ran(#[case] act: ScriptedReply, #[case] expected: &str) {
-    let node = node([act]);
+fn a_mutating_hit_is_retried_only_if_it_never_ran(#[case] script: ScriptedReply, #[case] expected: &str) {
+    let node = scripted_node([script]);
     let marshal = Marshal::start(&[&node]);
     let mut client = marshal.client();
-    assert_eq!(client.ask(), expected);
-    assert_eq!(client.ask(), SERVED, "the next one is served");
+    assert_eq!(client.submit(), expected);
+    assert_eq!(client.submit(), SERVED_REPLY, "the next hit is served");
 }
 
+/// A refused connection proves that the hit never ran, so that it is bounced rather than errored.
 #[rstest]
-fn a_refused_connection_proves_that_nothing_ran() {
-    let node = serving();
+fn a_refused_connection_bounces_a_mutating_hit() {
+    let node = healthy_node();
     node.stop();
     let marshal = Marshal::start(&[&node]);
-    assert_eq!(marshal.client().ask(), "-BUSY 80\r\n");
+    assert_eq!(marshal.client().submit(), "-BUSY 80\r\n");
 }
 
 #[rstest]
-fn an_idle_connection_that_its_node_closed_loses_no_hit() {
-    let node = node([say_and_close(VALUE)]);
+fn an_idle_connection_closed_by_its_node_loses_no_hit() {
+    let node = scripted_node([reply_and_close(NODE_REPLY)]);
     let marshal = Marshal::start(&[&node]);
     let mut client = marshal.client();
-    assert_eq!(client.ask(), GIVEN);
-    told(&node);
-    assert!(told(&node).is_empty(), "the node has closed it");
-    assert_eq!(client.ask(), SERVED);
+    assert_eq!(client.submit(), CLIENT_REPLY);
+    next_command(&node);
+    assert!(next_command(&node).is_empty(), "the node has closed it");
+    assert_eq!(client.submit(), SERVED_REPLY);
 }
 
 #[rstest]
-fn an_answer_that_nobody_asked_for_ends_the_connection() {
-    let twice = "*1\r\n$2\r\nhi\r\n*1\r\n$2\r\nhi\r\n";
-    let node = node([say(twice)]);
+fn an_unsolicited_reply_closes_the_node_connection() {
+    let duplicate = "*1\r\n$2\r\nhi\r\n*1\r\n$2\r\nhi\r\n";
+    let node = scripted_node([reply(duplicate)]);
     let marshal = Marshal::start(&[&node]);
     let mut client = marshal.client();
-    assert_eq!(client.ask(), "$2\r\nhi\r\n");
-    told(&node);
-    assert!(told(&node).is_empty());
-    assert_eq!(client.ask(), SERVED);
+    assert_eq!(client.submit(), "$2\r\nhi\r\n");
+    next_command(&node);
+    assert!(next_command(&node).is_empty());
+    assert_eq!(client.submit(), SERVED_REPLY);
 }
 
 #[rstest]
 #[case::failed("-ERR failed\r\n", "-ERR failed\r\n")]
-#[case::with_a_report("-ERR failed inflight=7,queue=2,util=0.61\r\n", "-ERR failed\r\n")]
-#[case::turned_away_with_both("-BUSY 80 inflight=7,queue=2,util=0.61\r\n", SERVED)]
-fn an_error_line_as_the_protocol_words_it_keeps_the_connection(#[case] text: &str, #[case] expected: &str) {
-    let node = node([say(text)]);
+#[case::with_load_report("-ERR failed inflight=7,queue=2,util=0.61\r\n", "-ERR failed\r\n")]
+#[case::busy_with_retry_after_and_report("-BUSY 80 inflight=7,queue=2,util=0.61\r\n", SERVED_REPLY)]
+fn an_error_line_of_the_protocol_keeps_the_node_connection(#[case] text: &str, #[case] expected: &str) {
+    let node = scripted_node([reply(text)]);
     let marshal = Marshal::start(&[&node]);
     let mut client = marshal.client();
-    assert_eq!(client.ask(), expected);
-    assert_eq!(client.ask(), SERVED);
-    assert!((0..2).all(|_| !told(&node).is_empty()), "a build that fails is no connection that breaks");
+    assert_eq!(client.submit(), expected);
+    assert_eq!(client.submit(), SERVED_REPLY);
+    assert!((0..2).all(|_| !next_command(&node).is_empty()), "an error reply does not close the connection");
 }
 
 #[rstest]
-#[case::run_on("-ERR a line without its end*x\r\n")]
-#[case::run_on_into_a_failure("-ERR failed inflight=1-ERR failed inflight=1\r\n")]
-#[case::run_on_into_a_value("-ERR failed inflight=7,queue=2,util=0.61*3\r\n")]
-#[case::run_on_into_noise("-BUSY \u{1}\r\n")]
-#[case::of_another_kind("-WRONGTYPE of value\r\n")]
-fn an_error_line_of_no_known_form_ends_the_connection(#[case] text: &str) {
-    let node = node([say(text)]);
+#[case::no_line_end("-ERR a line without its end*x\r\n")]
+#[case::no_line_end_before_an_error("-ERR failed inflight=1-ERR failed inflight=1\r\n")]
+#[case::no_line_end_before_a_value("-ERR failed inflight=7,queue=2,util=0.61*3\r\n")]
+#[case::control_character("-BUSY \u{1}\r\n")]
+#[case::other_error_code("-WRONGTYPE of value\r\n")]
+fn an_error_line_of_unknown_form_closes_the_node_connection(#[case] text: &str) {
+    let node = scripted_node([reply(text)]);
     let marshal = Marshal::start(&[&node]);
     let mut client = marshal.client();
-    assert_eq!(client.ask(), "-ERR failed\r\n");
-    assert!(!told(&node).is_empty());
-    assert!(told(&node).is_empty(), "what came behind it could be another hit's");
-    assert_eq!(client.ask(), SERVED);
+    assert_eq!(client.submit(), "-ERR failed\r\n");
+    assert!(!next_command(&node).is_empty());
+    assert!(next_command(&node).is_empty(), "what follows could be the reply to another hit");
+    assert_eq!(client.submit(), SERVED_REPLY);
 }
 
 #[rstest]
-fn a_second_copy_that_comes_a_moment_later_is_not_the_next_hits_answer() {
-    let node = node([ScriptedReply::ServeThenSend("*1\r\n$5\r\nwrong\r\n".into())]);
+fn a_late_duplicate_reply_is_not_taken_for_the_next_hits_reply() {
+    let node = scripted_node([ScriptedReply::ServeThenSend("*1\r\n$5\r\nwrong\r\n".into())]);
     let marshal = Marshal::start(&[&node]);
     let mut client = marshal.client();
-    assert_eq!([client.ask(), client.ask()], [SERVED, SERVED]);
+    assert_eq!([client.submit(), client.submit()], [SERVED_REPLY, SERVED_REPLY]);
 }
 
 #[rstest]
 #[case::length("*1\r\n$70\r\nva")]
 #[case::line("*1\r\n$7")]
-fn an_answer_whose_rest_never_comes_is_given_up_before_its_hit_is(#[case] text: &'static str) {
-    let node = node([say(text)]);
+fn an_incomplete_reply_times_out_before_its_hit(#[case] text: &'static str) {
+    let node = scripted_node([reply(text)]);
     let marshal = Marshal::start(&[&node]);
     let mut client = marshal.client();
     client.send(&["SVC.SUBMIT", "7f3a", "9b1f", "c=book,t=acme,d=60000", "BODY"]);
-    assert_eq!(client.answer(), "-ERR failed\r\n");
+    assert_eq!(client.read_reply(), "-ERR failed\r\n");
 }
 
 // ---- Discovery and platform ----
 
 #[rstest]
-fn a_drained_node_gets_nothing_more() {
-    let (one, two) = (serving(), serving());
-    let marshal = Marshal::start(&[&one]);
+fn a_drained_node_receives_no_more_hits() {
+    let (old, new) = (healthy_node(), healthy_node());
+    let marshal = Marshal::start(&[&old]);
     let mut client = marshal.client();
-    assert_eq!(client.ask(), SERVED);
+    assert_eq!(client.submit(), SERVED_REPLY);
     assert_eq!(
-        next_within(&marshal.discovery.requested_paths, LONG).unwrap(),
+        next_within(&marshal.discovery.requested_paths, TEST_TIMEOUT).unwrap(),
         "/v1/endpoints?follow=1&since=2"
     );
-    marshal.discovery.publish([entry(0, &one, "draining"), entry(1, &two, "up")]);
-    assert!(!told(&one).is_empty());
-    assert!(told(&one).is_empty(), "its connection is given up");
-    assert_eq!(client.ask(), SERVED);
-    assert!(!told(&two).is_empty());
+    marshal.discovery.publish([entry(0, &old, "draining"), entry(1, &new, "up")]);
+    assert!(!next_command(&old).is_empty());
+    assert!(next_command(&old).is_empty(), "the connection to it is closed");
+    assert_eq!(client.submit(), SERVED_REPLY);
+    assert!(!next_command(&new).is_empty());
 }
 
 #[rstest]
 #[case::ended(Some(None))]
 #[case::silent(None)]
 #[case::garbage(Some(Some("{\"version\":".into())))]
-#[case::odd_entry(Some(Some("{\"version\":4,\"full\":false,\"servers\":[{\"id\":\"s-0\"}]}".into())))]
-#[case::going_back(Some(Some("{\"version\":1,\"full\":false,\"servers\":[]}".into())))]
-fn a_watch_that_is_of_no_use_is_opened_again(#[case] line: Option<Option<String>>) {
-    let back = line.as_ref().is_some_and(|l| l.as_ref().is_some_and(|l| l.contains(":1,")));
+#[case::invalid_entry(Some(Some("{\"version\":4,\"full\":false,\"servers\":[{\"id\":\"s-0\"}]}".into())))]
+#[case::older_version(Some(Some("{\"version\":1,\"full\":false,\"servers\":[]}".into())))]
+fn a_failed_watch_is_opened_again(#[case] line: Option<Option<String>>) {
+    let older = line.as_ref().is_some_and(|l| l.as_ref().is_some_and(|l| l.contains(":1,")));
     let marshal = Marshal::start(&[]);
     marshal.discovery.set_silent(line.is_none());
-    next_within(&marshal.discovery.requested_paths, LONG).unwrap();
+    next_within(&marshal.discovery.requested_paths, TEST_TIMEOUT).unwrap();
     while marshal.discovery.watch_count() == 0 {
         thread::yield_now();
     }
     line.into_iter().for_each(|line| marshal.discovery.send_raw(line));
-    let again = next_within(&marshal.discovery.requested_paths, LONG).unwrap();
-    assert_eq!(again.contains("&since=2"), !back, "{again}");
+    let path = next_within(&marshal.discovery.requested_paths, TEST_TIMEOUT).unwrap();
+    assert_eq!(path.contains("&since=2"), !older, "{path}");
 }
 
 #[rstest]
-fn the_marshal_subscribes_again_after_a_cut() {
+fn the_marshal_subscribes_again_after_a_disconnect() {
     let marshal = Marshal::start(&[]);
     for _ in 0..3 {
-        assert!(next_within(&marshal.platform.received, LONG).unwrap().contains("\"subscribe\""));
+        assert!(next_within(&marshal.platform.received, TEST_TIMEOUT).unwrap().contains("\"subscribe\""));
         marshal.platform.close_connections();
     }
 }
@@ -477,70 +486,74 @@
 // ---- Start and stop ----
 
 #[rstest]
-fn told_to_end_a_marshal_answers_what_it_took_and_closes_idle_connections() {
-    let node = node([ScriptedReply::NoReply]);
+fn on_sigterm_accepted_hits_are_answered_and_idle_connections_closed() {
+    let node = scripted_node([ScriptedReply::NoReply]);
     let mut marshal = Marshal::start(&[&node]);
     let (mut idle, mut busy) = (marshal.client(), marshal.client());
     idle.send(&["PING"]);
-    assert_eq!(idle.answer(), "+PONG\r\n");
-    busy.book();
-    told(&node);
+    assert_eq!(idle.read_reply(), "+PONG\r\n");
+    busy.send_submit();
+    next_command(&node);
     marshal.program.signal("TERM");
-    idle.read();
-    assert_eq!(idle.answer(), SERVED, "clients still come for a while");
-    assert_eq!(busy.answer(), "-ERR failed\r\n");
-    assert_eq!([idle.answer(), busy.answer()], ["", ""]);
-    let mut end = None;
-    assert!(wait_until(LONG, || {
-        end = marshal.program.ended();
-        end.is_some()
+    idle.send_query();
+    assert_eq!(idle.read_reply(), SERVED_REPLY, "hits are still accepted for a while");
+    assert_eq!(busy.read_reply(), "-ERR failed\r\n");
+    assert_eq!([idle.read_reply(), busy.read_reply()], ["", ""]);
+    let mut status = None;
+    assert!(wait_until(TEST_TIMEOUT, || {
+        status = marshal.program.ended();
+        status.is_some()
     }));
-    assert!(end.unwrap().success());
+    assert!(status.unwrap().success());
 }
 
 #[rstest]
-fn on_sighup_discovery_and_platform_move_to_what_the_file_says_without_a_gap() {
-    let node = serving();
+fn on_sighup_new_addresses_of_discovery_and_platform_take_effect_without_a_gap() {
+    let node = healthy_node();
     let marshal = Marshal::start(&[&node]);
-    next_within(&marshal.discovery.requested_paths, LONG).unwrap();
-    next_within(&marshal.platform.received, LONG).unwrap();
-    let there = Discovery::start(&STAGE, books());
-    there.set_silent(true);
-    // It counts its versions on from those of the one before.
-    (0..3).for_each(|_| there.publish([]));
-    let platform = Platform::start(&STAGE, BuildStatus::live(BUILD), books());
+    next_within(&marshal.discovery.requested_paths, TEST_TIMEOUT).unwrap();
+    next_within(&marshal.platform.received, TEST_TIMEOUT).unwrap();
+    let new_discovery = Discovery::start(&RUNTIME, checker());
+    new_discovery.set_silent(true);
+    // Its versions continue those of the previous discovery.
+    (0..3).for_each(|_| new_discovery.publish([]));
+    let new_platform = Platform::start(&RUNTIME, BuildStatus::live(BUILD), checker());
     let mut config = marshal.config.clone();
-    (config["discovery"], config["platform"]["address"]) = (json!(there.addr), json!(platform.addr));
+    (config["discovery"], config["platform"]["address"]) =
+        (json!(new_discovery.addr), json!(new_platform.addr));
     config["seed"] = json!("8");
     let text = config.to_string();
-    // Twice in a row is as good as once.
-    marshal.reread(&text, "read the configuration again");
-    let restart = marshal.reread(&text, "needing a new start");
+    // Reloading the same file twice has the same effect as once.
+    marshal.reload_config(&text, "read the configuration again");
+    let restart = marshal.reload_config(&text, "needing a new start");
     assert!(restart.ends_with("needing a new start: seed"), "{restart}");
-    assert_eq!(next_within(&there.requested_paths, LONG).unwrap(), "/v1/endpoints?follow=1&since=2");
-    assert!(next_within(&platform.received, LONG).unwrap().contains("\"subscribe\""));
-    marshal.logged("the platform has moved");
-    // Until the new one has told something, the old one is still believed.
+    assert_eq!(
+        next_within(&new_discovery.requested_paths, TEST_TIMEOUT).unwrap(),
+        "/v1/endpoints?follow=1&since=2"
+    );
+    assert!(next_within(&new_platform.received, TEST_TIMEOUT).unwrap().contains("\"subscribe\""));
+    marshal.wait_for_log("the platform has moved");
+    // Until the new discovery has delivered a list, changes from the old one still apply.
     marshal.discovery.publish([entry(0, &node, "draining")]);
     let mut client = marshal.client();
-    while client.ask() == SERVED {
-        told(&node);
+    while client.submit() == SERVED_REPLY {
+        next_command(&node);
     }
-    there.publish([entry(1, &node, "up")]);
-    while client.ask() != SERVED {}
+    new_discovery.publish([entry(1, &node, "up")]);
+    while client.submit() != SERVED_REPLY {}
     marshal.program.signal("TERM");
     marshal.program.signal("HUP");
-    marshal.logged("told to end");
+    marshal.wait_for_log("told to end");
 }
 
 #[rstest]
 #[case::not_json("{", "not JSON")]
 #[case::no_platform("platform", "platform.address is not an address")]
 #[case::no_discovery("discovery", "discovery is not an address")]
-fn a_faulty_file_read_again_is_named_in_one_line_and_the_one_before_stays(
-    #[case] change: &str, #[case] why: &str,
+fn a_faulty_reloaded_configuration_is_reported_in_one_line_and_not_applied(
+    #[case] change: &str, #[case] error: &str,
 ) {
-    let node = serving();
+    let node = healthy_node();
     let marshal = Marshal::start(&[&node]);
     let mut config = marshal.config.clone();
     match change {
@@ -548,15 +561,15 @@
         key => config[key] = json!("nowhere"),
     }
     let text = if change == "{" { change.to_owned() } else { config.to_string() };
-    let line = marshal.reread(&text, "told to read the configuration again");
-    assert!(line.contains("error serve: ") && line.contains(why), "{line}");
-    assert_eq!(marshal.client().ask(), SERVED);
+    let line = marshal.reload_config(&text, "told to read the configuration again");
+    assert!(line.contains("error serve: ") && line.contains(error), "{line}");
+    assert_eq!(marshal.client().submit(), SERVED_REPLY);
 }
 
-fn ends(command: &str, change: impl Fn(&mut Value)) -> Output {
+fn run_to_exit(command: &str, edit_config: impl Fn(&mut Value)) -> Output {
     let (addr, known) = (([127, 0, 0, 1], 9).into(), json!({"version": 3, "full": true, "servers": []}));
     let (mut config, path) = (config(known, addr, addr), fresh_path("json"));
-    change(&mut config);
+    edit_config(&mut config);
     std::fs::write(&path, config.to_string()).unwrap();
     let mut program = Command::new(env!("CARGO_BIN_EXE_stonescale"));
     program.arg(command).env_clear().env("NODE_CONFIG", &path).output().unwrap()
@@ -573,17 +586,19 @@
 #[case("platform", json!({"address": "127.0.0.1:1", "news": {"build": 4}}), "platform.news: stage is not")]
 #[case("known", json!({}), "known: missing field `version`")]
 #[case("settings", json!({}), "settings.classes is missing")]
-fn a_faulty_configuration_is_named_in_one_line(#[case] key: &str, #[case] value: Value, #[case] why: &str) {
+fn a_faulty_configuration_is_reported_in_one_line(
+    #[case] key: &str, #[case] value: Value, #[case] error: &str,
+) {
     for command in ["serve", "check"] {
-        let out = ends(command, |config| config[key] = value.clone());
-        let told = String::from_utf8_lossy(&out.stderr).into_owned();
-        assert!(!out.status.success() && told.contains(why) && told.lines().count() == 1, "{told}");
+        let out = run_to_exit(command, |config| config[key] = value.clone());
+        let stderr = String::from_utf8_lossy(&out.stderr).into_owned();
+        assert!(!out.status.success() && stderr.contains(error) && stderr.lines().count() == 1, "{stderr}");
     }
 }
 
 #[rstest]
-fn a_sound_configuration_is_found_so_and_unknown_keys_are_skipped() {
-    let out = ends("check", |config| config["novelty"] = json!(1));
+fn a_valid_configuration_passes_check_and_unknown_keys_are_ignored() {
+    let out = run_to_exit("check", |config| config["novelty"] = json!(1));
     assert!(out.status.success() && String::from_utf8_lossy(&out.stdout).contains("3 path groups"));
 }
 
@@ -591,7 +606,7 @@
 #[case(&["serve", "--fast"])]
 #[case(&["fly"])]
 #[case(&[])]
-fn an_unknown_command_line_gets_the_usage(#[case] args: &[&str]) {
+fn an_invalid_command_line_prints_the_usage(#[case] args: &[&str]) {
     let out = Command::new(env!("CARGO_BIN_EXE_stonescale")).args(args).output().unwrap();
     assert!(!out.status.success() && String::from_utf8_lossy(&out.stderr).contains("Usage: stonescale"));
 }
