--- a/crates/marshal/src/clock.rs
+++ b/crates/marshal/src/clock.rs
@@ -1,8 +1,10 @@
-//! The module's clock: Unix time at the start plus monotonic time since, so that listed starts compare.
+//! Clock of the decision module: Unix time at the start plus the monotonic time since then, so that it compares with
+//! the start times in node lists and never goes back.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use stonescale::time::{Span, Time};
 
+/// Converts between the decision module's `Time` and `Instant`.
 #[derive(Clone, Copy)]
 pub struct Clock {
     start: Instant,
@@ -10,6 +12,7 @@
 }
 
 impl Clock {
+    /// A clock that starts at the current Unix time.
     pub fn start() -> Self {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Clock { start: Instant::now(), unix: Time::at(nanos(unix)) }
--- a/crates/marshal/src/logger.rs
+++ b/crates/marshal/src/logger.rs
@@ -1,5 +1,5 @@
-//! The program's log: an event a line to standard error, as text or JSON, at most so many a second. Lines are written
-//! by a thread of their own, and left out where nobody takes them: hits never wait for the log.
+//! The program's log: one line per event on standard error, as text or JSON, with a rate limit. A separate thread
+//! writes the lines, and lines for which the queue has no room are left out: hits never wait for the log.
 
 use std::fmt;
 use std::io::{self, Write};
@@ -15,44 +15,44 @@
 use tracing_subscriber::fmt::{FmtContext, FormatEvent, FormatFields, MakeWriter};
 use tracing_subscriber::registry::LookupSpan;
 
-/// Bytes of a line at most; what is longer is cut.
-const LINE: usize = 2 * 1024;
-/// Bytes that wait at most, whatever the log's memory: some thousand lines; nobody misses older ones.
-const MOST: usize = 256 * 1024;
-/// What a line occupies besides its text while it waits to be written.
-const ENTRY: usize = 64;
+/// Longest line; longer ones are truncated.
+const MAX_LINE_BYTES: usize = 2 * 1024;
+/// Most bytes that may be queued, however large the log's memory is: some thousand lines, as older ones are of no use.
+const MAX_QUEUED_BYTES: usize = 256 * 1024;
+/// Memory that a queued line occupies besides its text.
+const LINE_OVERHEAD_BYTES: usize = 64;
 
-/// Kept until the program ends: dropped, it writes what waits.
+/// Keeps the log running; dropping it writes the queued lines.
 pub struct LogHandle {
     _guard: WorkerGuard,
-    lines: Arc<AtomicU32>,
-    waiting: Arc<AtomicUsize>,
+    lines_per_second: Arc<AtomicU32>,
+    queued_bytes: Arc<AtomicUsize>,
 }
 
 impl LogHandle {
-    /// So many lines a second from now on.
-    pub fn set_lines_per_second(&self, lines: u32) {
-        self.lines.store(lines, Ordering::Relaxed);
+    /// Changes the rate limit.
+    pub fn set_lines_per_second(&self, lines_per_second: u32) {
+        self.lines_per_second.store(lines_per_second, Ordering::Relaxed);
     }
 
-    /// Bytes that wait to be written.
+    /// Bytes queued for the writer thread, with the overhead of each line.
     pub fn queued_bytes(&self) -> usize {
-        self.waiting.load(Ordering::Relaxed)
+        self.queued_bytes.load(Ordering::Relaxed)
     }
 }
 
-/// Where lines end up, with what is written counted as waiting no more.
-struct Counted<W> {
+/// Writes the lines and subtracts their size from the queued bytes.
+struct CountingWriter<W> {
     out: W,
-    waiting: Arc<AtomicUsize>,
+    queued_bytes: Arc<AtomicUsize>,
 }
 
-impl<W: Write> Write for Counted<W> {
-    /// A line that was put up for writing comes in one call.
+impl<W: Write> Write for CountingWriter<W> {
+    /// Each queued line is passed in one call.
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
-        let done = self.out.write_all(line);
-        self.waiting.fetch_sub(line.len() + ENTRY, Ordering::Relaxed);
-        done.map(|()| line.len())
+        let result = self.out.write_all(line);
+        self.queued_bytes.fetch_sub(line.len() + LINE_OVERHEAD_BYTES, Ordering::Relaxed);
+        result.map(|()| line.len())
     }
 
     fn flush(&mut self) -> io::Result<()> {
@@ -60,129 +60,143 @@
     }
 }
 
-/// Starts the log; `memory` bytes at most wait to be written.
-pub fn start(level: LevelFilter, format: Format, lines: u32, memory: usize) -> LogHandle {
-    let (bounded, log) = bounded(io::stderr(), format, lines, memory);
-    let builder = tracing_subscriber::fmt().with_max_level(level).with_writer(bounded);
-    // Only a second start in one process could fail, and there is none.
+/// Starts the log with at most `lines_per_second`; lines of at most `memory` bytes are queued.
+pub fn start(level: LevelFilter, format: Format, lines_per_second: u32, memory: usize) -> LogHandle {
+    let (writer, log) = limited_writer(io::stderr(), format, lines_per_second, memory);
+    let builder = tracing_subscriber::fmt().with_max_level(level).with_writer(writer);
+    // Fails only if a global subscriber is set already; the log is started once per process.
     let _ = match format {
-        Format::Text => builder.with_ansi(false).event_format(Plain).try_init(),
+        Format::Text => builder.with_ansi(false).event_format(TextFormat).try_init(),
         Format::Json => {
-            builder.json().flatten_event(true).with_timer(Unix).with_current_span(false).try_init()
+            builder.json().flatten_event(true).with_timer(UnixTime).with_current_span(false).try_init()
         }
     };
     log
 }
 
-fn bounded(
-    out: impl Write + Send + 'static, format: Format, lines: u32, memory: usize,
-) -> (Bounded, LogHandle) {
-    let (memory, waiting) = (memory.min(MOST), Arc::new(AtomicUsize::new(0)));
-    let counted = Counted { out, waiting: waiting.clone() };
-    // The bytes are the bound: so many lines never come to wait, and none is lost uncounted.
-    let most = memory / ENTRY + 1;
-    let (out, guard) = NonBlockingBuilder::default().buffered_lines_limit(most).lossy(true).finish(counted);
-    let lines = Arc::new(AtomicU32::new(lines));
-    let second = Arc::new(Mutex::new(Second { start: Instant::now(), lines: 0, left_out: 0 }));
+fn limited_writer(
+    out: impl Write + Send + 'static, format: Format, lines_per_second: u32, memory: usize,
+) -> (LimitedWriter, LogHandle) {
+    let (memory, queued_bytes) = (memory.min(MAX_QUEUED_BYTES), Arc::new(AtomicUsize::new(0)));
+    let writer = CountingWriter { out, queued_bytes: queued_bytes.clone() };
+    // The bytes are the effective limit: the queue never reaches this many lines, so that none is dropped uncounted.
+    let max_lines = memory / LINE_OVERHEAD_BYTES + 1;
+    let (out, guard) =
+        NonBlockingBuilder::default().buffered_lines_limit(max_lines).lossy(true).finish(writer);
+    let lines_per_second = Arc::new(AtomicU32::new(lines_per_second));
+    let window = Arc::new(Mutex::new(RateWindow { start: Instant::now(), lines: 0, left_out: 0 }));
     let json = format == Format::Json;
-    let bounded = Bounded { out, lines: lines.clone(), second, json, memory, waiting: waiting.clone() };
-    (bounded, LogHandle { _guard: guard, lines, waiting })
+    let writer = LimitedWriter {
+        out,
+        lines_per_second: lines_per_second.clone(),
+        window,
+        json,
+        memory,
+        queued_bytes: queued_bytes.clone(),
+    };
+    (writer, LogHandle { _guard: guard, lines_per_second, queued_bytes })
 }
 
-struct Unix;
+/// Formats the time as Unix seconds with milliseconds.
+struct UnixTime;
 
-impl FormatTime for Unix {
+impl FormatTime for UnixTime {
     fn format_time(&self, w: &mut Writer<'_>) -> fmt::Result {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         write!(w, "{}.{:03}", unix.as_secs(), unix.subsec_millis())
     }
 }
 
-/// Time, level, place, message and fields on one line.
-struct Plain;
+/// Formats an event as one line: Unix time, level, module, message and fields.
+struct TextFormat;
 
 impl<S: Subscriber + for<'a> LookupSpan<'a>, N: for<'a> FormatFields<'a> + 'static> FormatEvent<S, N>
-    for Plain
+    for TextFormat
 {
     fn format_event(&self, ctx: &FmtContext<'_, S, N>, mut w: Writer<'_>, event: &Event<'_>) -> fmt::Result {
-        Unix.format_time(&mut w)?;
-        let place = event.metadata().target().rsplit("::").next().unwrap_or_default();
+        UnixTime.format_time(&mut w)?;
+        let module = event.metadata().target().rsplit("::").next().unwrap_or_default();
         let level = event.metadata().level().as_str().to_ascii_lowercase();
-        write!(w, " {level} {place}: ")?;
+        write!(w, " {level} {module}: ")?;
         ctx.field_format().format_fields(w.by_ref(), event)?;
         writeln!(w)
     }
 }
 
-/// The present second, lines in it, and lines left out so far.
-struct Second {
+/// The current second of the rate limit, the lines in it, and the lines left out since the last one written.
+struct RateWindow {
     start: Instant,
     lines: u32,
     left_out: u32,
 }
 
-/// Lets so many lines a second pass, as long as there is room for them; what goes past it is counted and told with the
-/// next one.
-struct Bounded {
+/// Queues lines for the writer thread within the rate limit and the memory limit; lines that are left out are counted,
+/// and the next line states their number.
+struct LimitedWriter {
     out: NonBlocking,
-    lines: Arc<AtomicU32>,
-    second: Arc<Mutex<Second>>,
+    lines_per_second: Arc<AtomicU32>,
+    window: Arc<Mutex<RateWindow>>,
     json: bool,
-    /// Bytes that may wait, and that do.
+    /// Most bytes that may be queued, and the bytes that are.
     memory: usize,
-    waiting: Arc<AtomicUsize>,
+    queued_bytes: Arc<AtomicUsize>,
 }
 
-struct Pass<'a> {
-    bounded: &'a Bounded,
-    always: bool,
+/// Writes one event; errors are exempt from the rate limit.
+struct EventWriter<'a> {
+    writer: &'a LimitedWriter,
+    exempt: bool,
 }
 
-impl<'a> MakeWriter<'a> for Bounded {
-    type Writer = Pass<'a>;
+impl<'a> MakeWriter<'a> for LimitedWriter {
+    type Writer = EventWriter<'a>;
 
-    fn make_writer(&'a self) -> Pass<'a> {
-        Pass { bounded: self, always: false }
+    fn make_writer(&'a self) -> EventWriter<'a> {
+        EventWriter { writer: self, exempt: false }
     }
 
-    fn make_writer_for(&'a self, meta: &Metadata<'_>) -> Pass<'a> {
-        Pass { bounded: self, always: *meta.level() == Level::ERROR }
+    fn make_writer_for(&'a self, meta: &Metadata<'_>) -> EventWriter<'a> {
+        EventWriter { writer: self, exempt: *meta.level() == Level::ERROR }
     }
 }
 
-impl Write for Pass<'_> {
-    /// A whole line comes in one call.
+impl Write for EventWriter<'_> {
+    /// Each line is passed in one call.
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
         let left_out = {
-            let mut second = self.bounded.second.lock().unwrap_or_else(PoisonError::into_inner);
-            if second.start.elapsed().as_secs() >= 1 {
-                (second.start, second.lines) = (Instant::now(), 0);
+            let mut window = self.writer.window.lock().unwrap_or_else(PoisonError::into_inner);
+            if window.start.elapsed().as_secs() >= 1 {
+                (window.start, window.lines) = (Instant::now(), 0);
             }
-            second.lines += 1;
-            let many = second.lines > self.bounded.lines.load(Ordering::Relaxed) && !self.always;
-            // The longest that this line can come to, with how many were left out before it.
-            let full = self.bounded.waiting.load(Ordering::Relaxed) + LINE.max(line.len()) + 2 * ENTRY
-                > self.bounded.memory;
-            if many || full {
-                second.left_out += 1;
+            window.lines += 1;
+            let over_rate =
+                window.lines > self.writer.lines_per_second.load(Ordering::Relaxed) && !self.exempt;
+            // The longest that this line can become, with the count of lines left out before it.
+            let full = self.writer.queued_bytes.load(Ordering::Relaxed)
+                + MAX_LINE_BYTES.max(line.len())
+                + 2 * LINE_OVERHEAD_BYTES
+                > self.writer.memory;
+            if over_rate || full {
+                window.left_out += 1;
                 return Ok(line.len());
             }
-            std::mem::take(&mut second.left_out)
+            std::mem::take(&mut window.left_out)
         };
-        let mut out = self.bounded.out.clone();
+        let mut out = self.writer.out.clone();
         let text = line.strip_suffix(b"\n").unwrap_or(line);
-        // A cut JSON line would be none.
-        let text = if text.len() > LINE && !self.bounded.json { &text[..LINE] } else { text };
-        let mut whole = text.to_vec();
-        if left_out > 0 && self.bounded.json {
-            whole.pop();
-            whole.extend_from_slice(format!(",\"left_out\":{left_out}}}").as_bytes());
+        // A truncated JSON line would be invalid.
+        let text =
+            if text.len() > MAX_LINE_BYTES && !self.writer.json { &text[..MAX_LINE_BYTES] } else { text };
+        let mut full_line = text.to_vec();
+        if left_out > 0 && self.writer.json {
+            full_line.pop();
+            full_line.extend_from_slice(format!(",\"left_out\":{left_out}}}").as_bytes());
         } else if left_out > 0 {
-            whole.extend_from_slice(format!(" ({left_out} lines left out)").as_bytes());
+            full_line.extend_from_slice(format!(" ({left_out} lines left out)").as_bytes());
         }
-        whole.push(b'\n');
-        self.bounded.waiting.fetch_add(whole.len() + ENTRY, Ordering::Relaxed);
-        out.write_all(&whole)?;
+        full_line.push(b'\n');
+        self.writer.queued_bytes.fetch_add(full_line.len() + LINE_OVERHEAD_BYTES, Ordering::Relaxed);
+        out.write_all(&full_line)?;
         Ok(line.len())
     }
 
@@ -196,10 +210,10 @@
     use super::*;
     use std::sync::mpsc::{Receiver, Sender, channel};
 
-    /// A place where lines are written one by one, each when it is let through.
-    struct Gate(Receiver<()>, Sender<String>);
+    /// A writer that blocks until the test lets it write the next line.
+    struct BlockingWriter(Receiver<()>, Sender<String>);
 
-    impl Write for Gate {
+    impl Write for BlockingWriter {
         fn write(&mut self, line: &[u8]) -> io::Result<usize> {
             let _ = self.0.recv();
             let _ = self.1.send(String::from_utf8_lossy(line).into_owned());
@@ -212,23 +226,23 @@
     }
 
     #[test]
-    fn lines_that_nobody_takes_stay_within_the_logs_memory_and_are_counted() {
+    fn lines_beyond_the_memory_limit_of_a_blocked_log_are_left_out_and_counted() {
         const MEMORY: usize = 16 * 1024;
-        let ((let_through, gate), (write, written)) = (channel(), channel());
-        let (bounded, log) = bounded(Gate(gate, write), Format::Text, u32::MAX, MEMORY);
+        let ((release, released), (write, written)) = (channel(), channel());
+        let (writer, log) = limited_writer(BlockingWriter(released, write), Format::Text, u32::MAX, MEMORY);
         let line = "x".repeat(99) + "\n";
         for _ in 0..1_000 {
-            bounded.make_writer().write_all(line.as_bytes()).unwrap();
+            writer.make_writer().write_all(line.as_bytes()).unwrap();
             assert!(log.queued_bytes() <= MEMORY, "{}", log.queued_bytes());
         }
-        let whole = log.queued_bytes() / (line.len() + ENTRY);
-        drop(let_through);
-        (0..whole).for_each(|_| assert_eq!(written.recv().unwrap(), line));
-        // The thread counts a line as written right after it wrote it.
+        let queued_lines = log.queued_bytes() / (line.len() + LINE_OVERHEAD_BYTES);
+        drop(release);
+        (0..queued_lines).for_each(|_| assert_eq!(written.recv().unwrap(), line));
+        // The writer thread subtracts a line only after it has written it.
         while log.queued_bytes() > 0 {
             std::thread::yield_now();
         }
-        bounded.make_writer().write_all(line.as_bytes()).unwrap();
-        assert!(written.recv().unwrap().contains(&format!("({} lines left out)", 1_000 - whole)));
+        writer.make_writer().write_all(line.as_bytes()).unwrap();
+        assert!(written.recv().unwrap().contains(&format!("({} lines left out)", 1_000 - queued_lines)));
     }
 }
--- a/crates/marshal/src/main.rs
+++ b/crates/marshal/src/main.rs
@@ -1,4 +1,4 @@
-//! The command line of one stonescale marshal.
+//! Command line of the marshal.
 
 mod allocator;
 mod client;
@@ -25,46 +25,46 @@
 use std::process::ExitCode;
 use tracing::level_filters::LevelFilter;
 
-/// One stonescale marshal: takes hits, forwards them to nodes of the earlier build and, within a cap, of the build on
-/// trial, and votes on whether that goes on.
+/// A stonescale marshal: accepts hits, forwards them to nodes of the earlier build and, within a cap, of the build on
+/// trial, and votes on whether the trial continues.
 ///
-/// NODE_NAME, NODE_LISTEN and NODE_DISCOVERY are stronger than the configuration. On SIGHUP `serve` reads both files
-/// again: the addresses of discovery and the platform move, the operator's settings change, and all else waits for the
-/// next start. On SIGUSR1 it reports what its memory is held for.
+/// NODE_NAME, NODE_LISTEN and NODE_DISCOVERY take precedence over the configuration. On SIGHUP `serve` reloads both
+/// files: the addresses of discovery and the platform and the operator's settings take effect at once, all else at the
+/// next start. On SIGUSR1 it reports its memory by purpose.
 #[derive(Parser)]
 #[command(name = "stonescale", version, about, long_about, disable_help_subcommand = true)]
-struct Line {
+struct CommandLine {
     #[command(subcommand)]
     command: Command,
 }
 
 #[derive(Subcommand)]
 enum Command {
-    /// Run one marshal in the foreground, until SIGTERM or SIGINT
+    /// Run a marshal in the foreground until SIGTERM or SIGINT
     Serve(Files),
-    /// Read and check both files, say what is in force and where it comes from, and end
+    /// Check both files and print the settings in force with their origin
     Check(Files),
-    /// Say the version
+    /// Print the version
     Version,
 }
 
 #[derive(Args)]
 pub struct Files {
-    /// The platform's configuration, a JSON file; else the one that NODE_CONFIG names
+    /// The platform's configuration, a JSON file; by default the one that NODE_CONFIG names
     #[arg(long, value_name = "FILE")]
     config: Option<PathBuf>,
     /// The operator's settings, an INI file (deploy/operator.ini shows the defaults)
     #[arg(long, value_name = "FILE")]
     operator: Option<PathBuf>,
-    /// error, warn, info, debug or trace
+    /// Log level: error, warn, info, debug or trace
     #[arg(long, value_name = "LEVEL", default_value = "info")]
     log: LevelFilter,
 }
 
 fn main() -> ExitCode {
-    // Usage that can't be read ends with 2, by clap.
-    let line = Line::parse();
-    match run(line.command) {
+    // On invalid usage clap exits with code 2.
+    let command_line = CommandLine::parse();
+    match run(command_line.command) {
         Ok(()) => ExitCode::SUCCESS,
         Err(why) => {
             eprintln!("stonescale: {why}");
@@ -80,11 +80,11 @@
             serve::serve(files)
         }
         Command::Check(files) => {
-            let (said, in_force) = serve::check(&files)?;
-            println!("{said}");
+            let (summary, in_force) = serve::check(&files)?;
+            println!("{summary}");
             for row in in_force {
-                let from = row.line.map_or("default".into(), |line| format!("line {line}"));
-                println!("[{}] {} = {} ({from})", row.section, row.key, row.value);
+                let origin = row.line.map_or("default".into(), |line| format!("line {line}"));
+                println!("[{}] {} = {} ({origin})", row.section, row.key, row.value);
             }
             Ok(())
         }
--- a/crates/marshal/src/memory.rs
+++ b/crates/marshal/src/memory.rs
@@ -1,10 +1,10 @@
-//! What is held by purpose, as the log tells it: every so often, when asked, and at each change of a level.
+//! Logs memory use by purpose: periodically, on request, and at each change of a pressure level.
 
 use stonescale_budget::{Ledger, Purpose};
 use tracing::{info, warn};
 
-/// The name under which a purpose is reported; a path group's hits in work with the group's own.
-fn name(purpose: Purpose, groups: &[String]) -> String {
+/// The name of a purpose in the log; a path group's hits in flight are named after the group.
+fn purpose_name(purpose: Purpose, groups: &[String]) -> String {
     match purpose {
         Purpose::InFlight(group) => {
             format!("work.{}", groups.get(usize::from(group)).map_or("other", String::as_str))
@@ -13,9 +13,9 @@
     }
 }
 
-/// Resident bytes by the system's own count: of the process alone, and of the program's pages that the system could
-/// read again from its file. Zero where that can't be read.
-fn resident() -> (usize, usize) {
+/// Resident bytes as the kernel counts them: the process's own memory, and the program's pages, which the kernel can
+/// read again from its file. Zero if the counts can't be read.
+fn resident_bytes() -> (usize, usize) {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let kib = |name: &str| {
         let line = status.lines().find_map(|l| l.strip_prefix(name));
@@ -24,14 +24,14 @@
     ((kib("RssAnon:") + kib("RssShmem:")) * 1024, kib("RssFile:") * 1024)
 }
 
-/// One event for each purpose, and one for the process.
+/// Logs one event for the process and one for each purpose. `clients` is the number of client connections.
 pub fn log_report(ledger: &Ledger, groups: &[String], clients: usize) {
-    let ((resident, program), held) = (resident(), ledger.total_held());
+    let ((resident, program), held) = (resident_bytes(), ledger.total_held());
     let unaccounted = resident.saturating_sub(held);
     info!(resident, program, held, unaccounted, clients, "memory of the process");
     for row in ledger.report() {
         info!(
-            purpose = name(row.purpose, groups),
+            purpose = purpose_name(row.purpose, groups),
             held = row.account.held,
             cap = row.account.cap,
             reserve = row.account.reserve,
@@ -45,11 +45,11 @@
     }
 }
 
-/// One event for each change of a level since the last time.
+/// Logs one event for each change of a pressure level since the last call.
 pub fn log_level_changes(ledger: &Ledger, groups: &[String]) {
     for change in ledger.drain_changes() {
         warn!(
-            purpose = name(change.purpose, groups),
+            purpose = purpose_name(change.purpose, groups),
             from = change.from.name(),
             to = change.to.name(),
             held = change.held,
--- a/crates/marshal/src/reactor.rs
+++ b/crates/marshal/src/reactor.rs
@@ -1,6 +1,6 @@
-//! What sockets are ready and which timers are due, for the one thread of the program. It stands in place of
-//! async-io: that arms every socket anew for each message and sets a kernel timer for each wait, 14 system
-//! calls a hit where 5 will do, and one core has to carry thousands of hits a second (docs/design.md).
+//! Single-threaded reactor: socket readiness through epoll, and timers. It replaces async-io, which re-arms every
+//! socket for each message and sets a kernel timer for each wait: 14 system calls a hit instead of 5, while one core
+//! has to carry thousands of hits a second (docs/design.md).
 
 use async_executor::LocalExecutor;
 use rustix::event::Timespec;
@@ -16,25 +16,25 @@
 use std::task::{Context, Poll, Waker};
 use std::time::{Duration, Instant};
 
-/// Events taken from the kernel at one go.
-const EVENTS: usize = 512;
-/// Tasks run before sockets are looked at again.
-const TASKS: usize = 256;
-/// Longest wait for an event; nothing depends on it.
-const LONGEST: Duration = Duration::from_secs(1);
+/// Events taken from the kernel in one call.
+const MAX_EVENTS: usize = 512;
+/// Tasks polled before the sockets are checked again.
+const MAX_TASK_POLLS: usize = 256;
+/// Longest wait for an event; correctness does not depend on it.
+const MAX_WAIT: Duration = Duration::from_secs(1);
 
-/// One direction of a socket: ready until an attempt would have blocked.
+/// Readiness of a socket in one direction. It stays set until an operation would have blocked.
 #[derive(Default)]
-struct Side {
+struct Direction {
     ready: bool,
     waker: Option<Waker>,
 }
 
-/// A socket's two sides, and whether its other end is gone: then both stay ready.
+/// State of a registered socket. Once the peer has closed or the connection has failed, both directions stay ready.
 #[derive(Default)]
-struct Slot {
-    sides: [Side; 2],
-    over: bool,
+struct SocketState {
+    directions: [Direction; 2],
+    closed: bool,
 }
 
 const READ: usize = 0;
@@ -43,43 +43,46 @@
 #[derive(Default)]
 struct Reactor {
     epoll: Option<OwnedFd>,
-    slots: Vec<Slot>,
+    sockets: Vec<SocketState>,
+    /// Indices in `sockets` that are not in use.
     free: Vec<usize>,
+    /// By deadline and timer number.
     timers: BTreeMap<(Instant, u64), Waker>,
-    set: u64,
+    last_timer: u64,
 }
 
 thread_local! {
     static REACTOR: RefCell<Reactor> = RefCell::default();
 }
 
-fn with<R>(f: impl FnOnce(&mut Reactor) -> R) -> R {
+fn with_reactor<R>(f: impl FnOnce(&mut Reactor) -> R) -> R {
     REACTOR.with(|reactor| f(&mut reactor.borrow_mut()))
 }
 
-/// A socket that does not block, known to this thread's reactor until it is dropped.
+/// A non-blocking socket, registered with this thread's reactor until it is dropped.
 pub struct Async<T: AsFd> {
     io: T,
-    at: usize,
+    /// Index in the reactor's `sockets`.
+    index: usize,
 }
 
 impl<T: AsFd> Async<T> {
-    /// Takes a socket that is set not to block.
+    /// Registers a socket that is already non-blocking.
     pub fn new(io: T) -> io::Result<Self> {
-        with(|r| {
-            if r.epoll.is_none() {
-                r.epoll = Some(epoll::create(CreateFlags::CLOEXEC)?);
+        with_reactor(|reactor| {
+            if reactor.epoll.is_none() {
+                reactor.epoll = Some(epoll::create(CreateFlags::CLOEXEC)?);
             }
-            let Some(epoll) = &r.epoll else { return Err(io::ErrorKind::Other.into()) };
-            let at = r.free.last().copied().unwrap_or(r.slots.len());
-            // By edges: the kernel tells each change once, and no call is needed to hear of the next.
+            let Some(epoll) = &reactor.epoll else { return Err(io::ErrorKind::Other.into()) };
+            let index = reactor.free.last().copied().unwrap_or(reactor.sockets.len());
+            // Edge-triggered: the kernel reports each change once, and no call re-arms the socket.
             let flags = EventFlags::IN | EventFlags::OUT | EventFlags::RDHUP | EventFlags::ET;
-            epoll::add(epoll, &io, EventData::new_u64(at as u64), flags)?;
-            if r.free.pop().is_none() {
-                r.slots.push(Slot::default());
+            epoll::add(epoll, &io, EventData::new_u64(index as u64), flags)?;
+            if reactor.free.pop().is_none() {
+                reactor.sockets.push(SocketState::default());
             }
-            r.slots[at] = Slot::default();
-            Ok(Async { io, at })
+            reactor.sockets[index] = SocketState::default();
+            Ok(Async { io, index })
         })
     }
 
@@ -87,58 +90,60 @@
         &self.io
     }
 
-    async fn ready(&self, side: usize) {
+    async fn wait_ready(&self, direction: usize) {
         poll_fn(|cx| {
-            with(|r| {
-                let slot = &mut r.slots[self.at];
-                if slot.over || slot.sides[side].ready {
+            with_reactor(|reactor| {
+                let socket = &mut reactor.sockets[self.index];
+                if socket.closed || socket.directions[direction].ready {
                     return Poll::Ready(());
                 }
-                slot.sides[side].waker = Some(cx.waker().clone());
+                socket.directions[direction].waker = Some(cx.waker().clone());
                 Poll::Pending
             })
         })
         .await;
     }
 
+    /// Waits until the socket may be readable, or is closed.
     pub async fn readable(&self) {
-        self.ready(READ).await;
+        self.wait_ready(READ).await;
     }
 
+    /// Waits until the socket may be writable, or is closed.
     pub async fn writable(&self) {
-        self.ready(WRITE).await;
+        self.wait_ready(WRITE).await;
     }
 
-    /// There was nothing more to read, or to accept.
+    /// To be called once there is nothing left to read or accept: `readable` then waits for the next event.
     pub fn clear_readable(&self) {
-        with(|r| r.slots[self.at].sides[READ].ready = false);
+        with_reactor(|reactor| reactor.sockets[self.index].directions[READ].ready = false);
     }
 
-    /// No more could be written.
+    /// To be called once a write would have blocked: `writable` then waits for the next event.
     pub fn clear_writable(&self) {
-        with(|r| r.slots[self.at].sides[WRITE].ready = false);
+        with_reactor(|reactor| reactor.sockets[self.index].directions[WRITE].ready = false);
     }
 }
 
 impl<T: AsFd> Drop for Async<T> {
     fn drop(&mut self) {
-        // The kernel forgets the socket when it is closed, right after this.
-        let wakers = with(|r| {
-            r.free.push(self.at);
-            std::mem::take(&mut r.slots[self.at])
+        // No call to epoll is needed: closing the socket right after this removes it from the epoll set.
+        let wakers = with_reactor(|reactor| {
+            reactor.free.push(self.index);
+            std::mem::take(&mut reactor.sockets[self.index])
         });
         drop(wakers);
     }
 }
 
-/// Sends small messages at once. A congestion control that paces what it sends sets a kernel timer a message;
-/// the plainest does not. Refused, either only costs time.
+/// Turns off Nagle's algorithm, so that small messages are sent at once, and selects the congestion control "reno":
+/// one that paces its output sets a kernel timer for each message. If either option is refused, only speed is lost.
 pub fn tune_for_latency(socket: impl AsFd) {
     let _ = rustix::net::sockopt::set_tcp_nodelay(&socket, true);
     let _ = rustix::net::sockopt::set_tcp_congestion(&socket, "reno");
 }
 
-/// Connects for as long as the future is polled.
+/// Connects to `addr`. There is no time limit; dropping the future gives up the attempt.
 pub async fn connect(addr: SocketAddr) -> io::Result<Async<TcpStream>> {
     let family = if addr.is_ipv4() { AddressFamily::INET } else { AddressFamily::INET6 };
     let flags = SocketFlags::CLOEXEC | SocketFlags::NONBLOCK;
@@ -152,20 +157,21 @@
     stream.writable().await;
     match stream.get_ref().take_error()? {
         Some(error) => Err(error),
-        // Gone already again, or never up: the name of the other end tells.
+        // Writable without an error does not prove a connection: it may be closed again or never have come up, and
+        // then it has no peer address.
         None => stream.get_ref().peer_addr().map(|_| stream),
     }
 }
 
-/// Ends at its time.
+/// A future that completes at its deadline.
 pub struct Timer {
-    due: Instant,
+    deadline: Instant,
     number: Option<u64>,
 }
 
 impl Timer {
-    pub fn at(due: Instant) -> Self {
-        Timer { due, number: None }
+    pub fn at(deadline: Instant) -> Self {
+        Timer { deadline, number: None }
     }
 
     pub fn after(wait: Duration) -> Self {
@@ -177,15 +183,15 @@
     type Output = ();
 
     fn poll(mut self: Pin<&mut Self>, cx: &mut Context) -> Poll<()> {
-        if Instant::now() >= self.due {
+        if Instant::now() >= self.deadline {
             return Poll::Ready(());
         }
-        with(|r| {
+        with_reactor(|reactor| {
             let number = *self.number.get_or_insert_with(|| {
-                r.set += 1;
-                r.set
+                reactor.last_timer += 1;
+                reactor.last_timer
             });
-            r.timers.insert((self.due, number), cx.waker().clone());
+            reactor.timers.insert((self.deadline, number), cx.waker().clone());
         });
         Poll::Pending
     }
@@ -194,19 +200,23 @@
 impl Drop for Timer {
     fn drop(&mut self) {
         if let Some(number) = self.number {
-            drop(with(|r| r.timers.remove(&(self.due, number))));
+            drop(with_reactor(|reactor| reactor.timers.remove(&(self.deadline, number))));
         }
     }
 }
 
-/// Waits for events, for no longer than `most`, and wakes whom they concern.
-fn wait(events: &mut Vec<Event>, woken: &mut Vec<Waker>, most: Duration) -> io::Result<()> {
+/// Waits for events or the next timer, for no longer than `max_wait`, and wakes the tasks concerned.
+fn wait_for_events(events: &mut Vec<Event>, woken: &mut Vec<Waker>, max_wait: Duration) -> io::Result<()> {
     events.clear();
-    with(|r| {
-        let next = r.timers.keys().next().map(|(due, _)| due.saturating_duration_since(Instant::now()));
-        let wait = next.map_or(most, |next| next.min(most));
+    with_reactor(|reactor| {
+        let next = reactor
+            .timers
+            .keys()
+            .next()
+            .map(|(deadline, _)| deadline.saturating_duration_since(Instant::now()));
+        let wait = next.map_or(max_wait, |next| next.min(max_wait));
         let timespec = Timespec { tv_sec: wait.as_secs() as i64, tv_nsec: i64::from(wait.subsec_nanos()) };
-        match &r.epoll {
+        match &reactor.epoll {
             None => std::thread::sleep(wait),
             Some(epoll) => {
                 match epoll::wait(epoll, rustix::buffer::spare_capacity(events), Some(&timespec)) {
@@ -216,32 +226,42 @@
             }
         }
         for event in events.iter() {
-            let (flags, at) = (event.flags, event.data.u64() as usize);
-            let Some(slot) = r.slots.get_mut(at) else { continue };
-            slot.over |= flags.intersects(EventFlags::RDHUP | EventFlags::HUP | EventFlags::ERR);
-            slot.sides[READ].ready |= flags.contains(EventFlags::IN);
-            slot.sides[WRITE].ready |= flags.contains(EventFlags::OUT);
-            let over = slot.over;
-            woken.extend(slot.sides.iter_mut().filter(|s| s.ready || over).filter_map(|s| s.waker.take()));
+            let (flags, index) = (event.flags, event.data.u64() as usize);
+            let Some(socket) = reactor.sockets.get_mut(index) else { continue };
+            socket.closed |= flags.intersects(EventFlags::RDHUP | EventFlags::HUP | EventFlags::ERR);
+            socket.directions[READ].ready |= flags.contains(EventFlags::IN);
+            socket.directions[WRITE].ready |= flags.contains(EventFlags::OUT);
+            let closed = socket.closed;
+            woken.extend(
+                socket
+                    .directions
+                    .iter_mut()
+                    .filter(|direction| direction.ready || closed)
+                    .filter_map(|direction| direction.waker.take()),
+            );
         }
         let now = Instant::now();
-        while let Some(entry) = r.timers.first_entry().filter(|e| e.key().0 <= now) {
+        while let Some(entry) = reactor.timers.first_entry().filter(|e| e.key().0 <= now) {
             woken.push(entry.remove());
         }
         io::Result::Ok(())
     })?;
-    // Outside of the reactor: what a waker sets off may drop sockets.
+    // Not while the reactor is borrowed: a woken task may drop sockets.
     woken.drain(..).for_each(Waker::wake);
     Ok(())
 }
 
-/// Runs all tasks on this thread until `main` has ended.
+/// Runs all tasks on this thread until `main` has finished. An error is that of epoll.
 pub fn run(tasks: &LocalExecutor<'static>, main: impl Future<Output = ()> + 'static) -> io::Result<()> {
     let main = tasks.spawn(main);
-    let (mut events, mut woken) = (Vec::with_capacity(EVENTS), Vec::new());
+    let (mut events, mut woken) = (Vec::with_capacity(MAX_EVENTS), Vec::new());
     while !main.is_finished() {
-        let busy = (0..TASKS).take_while(|_| tasks.try_tick()).count() == TASKS;
-        wait(&mut events, &mut woken, if busy || main.is_finished() { Duration::ZERO } else { LONGEST })?;
+        let busy = (0..MAX_TASK_POLLS).take_while(|_| tasks.try_tick()).count() == MAX_TASK_POLLS;
+        wait_for_events(
+            &mut events,
+            &mut woken,
+            if busy || main.is_finished() { Duration::ZERO } else { MAX_WAIT },
+        )?;
     }
     Ok(())
 }
--- a/crates/marshal/tests/soak.rs
+++ b/crates/marshal/tests/soak.rs
@@ -1,4 +1,5 @@
-//! The short soak, against the program as it is and against two that leak.
+//! Runs the short soak against the marshal and against two variants with a deliberate leak: it must pass the first and
+//! detect both leaks.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
@@ -6,8 +7,8 @@
 
 const SCENARIO: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/soak-short.ini");
 
-/// The laboratory's program, built beside the marshal's.
-fn laboratory() -> PathBuf {
+/// Builds the laboratory's binary beside the marshal's and returns its path.
+fn build_laboratory() -> PathBuf {
     let status = Command::new(env!("CARGO"))
         .args(["build", "-q", "--locked", "-p", "stonescale-lab", "--bins"])
         .status();
@@ -15,8 +16,8 @@
     Path::new(env!("CARGO_BIN_EXE_stonescale")).with_file_name("stonescale-lab")
 }
 
-/// The marshal with deliberate faults in it, in a folder of its own.
-fn mutants() -> PathBuf {
+/// Builds the marshal with the feature `mutants` in a target directory of its own and returns its path.
+fn build_mutants() -> PathBuf {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join("mutants");
     let mut cargo = Command::new(env!("CARGO"));
     cargo.args([
@@ -34,9 +35,9 @@
 }
 
 #[test]
-fn a_soak_passes_and_catches_what_leaks() {
+fn the_soak_passes_and_detects_leaks() {
     Scenario::read(Path::new(SCENARIO)).unwrap();
-    let (laboratory, mutants) = (laboratory(), mutants());
+    let (laboratory, mutants) = (build_laboratory(), build_mutants());
     let soak = |marshal: &Path, mutant: &str| {
         let mut run = Command::new(&laboratory);
         run.arg("soak").arg(SCENARIO).arg("--marshal").arg(marshal).env("STONESCALE_MUTANT", mutant);
@@ -47,9 +48,9 @@
         (3, "resident grows", soak(&mutants, "leak-hit")),
         (3, "descriptors", soak(&mutants, "leak-connection")),
     ];
-    for (code, word, run) in runs {
+    for (code, pattern, run) in runs {
         let out = run.join().unwrap();
-        let told = String::from_utf8_lossy(&out.stdout).into_owned();
-        assert!(out.status.code() == Some(code) && told.contains(word), "{told}");
+        let stdout = String::from_utf8_lossy(&out.stdout).into_owned();
+        assert!(out.status.code() == Some(code) && stdout.contains(pattern), "{stdout}");
     }
 }
