--- a/crates/marshal/src/allocator.rs
+++ b/crates/marshal/src/allocator.rs
@@ -4,11 +4,11 @@
 use std::os::unix::process::CommandExt;
 use std::process::Command;
 
-/// By default blocks of up to 128 KiB, a threshold that grows up to 32 MiB, come from the heap, of which only a free end
-/// is returned to the system: after a flood of 40 KB commands resident size stayed 2 MiB higher, and rose by 33 KB a
-/// second over the next floods. With these settings blocks from 32 KiB on are mapped and returned one by one, the free
-/// end of the heap is returned early, and the log's thread gets no arena of its own. The cost is a page fault for each
-/// page of a large message.
+/// By default blocks of up to 128 KiB, a threshold that grows up to 32 MiB, come from the heap, of which only a free
+/// end is returned to the system: after a flood of 40 KB commands resident size stayed 2 MiB higher, and rose by 33 KB
+/// a second over the next floods. With these settings blocks from 32 KiB on are mapped and returned one by one, the
+/// free end of the heap is returned early, and the log's thread gets no arena of its own. The cost is a page fault for
+/// each page of a large message.
 const SETTINGS: [(&str, &str); 4] = [
     ("MALLOC_ARENA_MAX", "1"),
     ("MALLOC_MMAP_THRESHOLD_", "32768"),
--- a/crates/marshal/src/platform.rs
+++ b/crates/marshal/src/platform.rs
@@ -73,7 +73,7 @@
     number: u64,
     addr: SocketAddr,
     /// Whether a message was received from this address.
-    heard: Cell<bool>,
+    received: Cell<bool>,
     /// Whether a newer endpoint has replaced this one, so that only the answers to its own votes still count.
     retired: Cell<bool>,
     signal: Signal,
@@ -111,10 +111,10 @@
     /// address delivers one, so that no vote and no notification is lost in between; one that has delivered none is
     /// closed at once.
     pub fn set_address(self: &Rc<Self>, addr: SocketAddr) {
-        let (number, heard, retired) = (self.next_id(), Cell::new(false), Cell::new(false));
-        let endpoint = Rc::new(Endpoint { number, addr, heard, retired, signal: Signal::default() });
+        let (number, received, retired) = (self.next_id(), Cell::new(false), Cell::new(false));
+        let endpoint = Rc::new(Endpoint { number, addr, received, retired, signal: Signal::default() });
         let before = self.endpoints.borrow().clone();
-        before.iter().filter(|other| !other.heard.get()).for_each(|other| self.retire(other));
+        before.iter().filter(|other| !other.received.get()).for_each(|other| self.retire(other));
         self.endpoints.borrow_mut().push(endpoint.clone());
         self.tasks.spawn(self.clone().run(endpoint)).detach();
     }
@@ -176,7 +176,7 @@
             if !self.is_newest(&endpoint) {
                 break;
             }
-            backoff = if connection.heard { INITIAL_BACKOFF } else { (backoff * 2).min(MAX_BACKOFF) };
+            backoff = if connection.received { INITIAL_BACKOFF } else { (backoff * 2).min(MAX_BACKOFF) };
             let until = Instant::now() + backoff.mul_f64(rng.random_range(0.5..1.5));
             while Instant::now() < until {
                 Timer::at(self.next_deadline(&endpoint).map_or(until, |deadline| deadline.min(until))).await;
@@ -298,7 +298,7 @@
                         if let Err(why) = read.and(receiver.invalid.map_or(Ok(()), Err)) {
                             return format!("invalid message: {why}");
                         }
-                        (silent_at, connection.heard) = (Instant::now() + SILENCE_TIMEOUT, true);
+                        (silent_at, connection.received) = (Instant::now() + SILENCE_TIMEOUT, true);
                     }
                     Ok(false) => break,
                     Err(why) => return why.into(),
@@ -308,8 +308,8 @@
     }
 
     /// Notes that the endpoint has delivered a message, and retires those before it.
-    fn mark_heard(&self, endpoint: &Endpoint) {
-        if !endpoint.heard.replace(true) {
+    fn mark_received(&self, endpoint: &Endpoint) {
+        if !endpoint.received.replace(true) {
             let endpoints = self.endpoints.borrow();
             endpoints
                 .iter()
@@ -325,7 +325,7 @@
     queued_bytes: u64,
     written_bytes: u64,
     /// Whether a message was received on this connection.
-    heard: bool,
+    received: bool,
 }
 
 impl ConnectionState {
@@ -334,7 +334,7 @@
             out: Buffer::with_prepaid(ledger, Purpose::Platform),
             queued_bytes: 0,
             written_bytes: 0,
-            heard: false,
+            received: false,
         }
     }
 
@@ -373,7 +373,7 @@
 
 impl MessageHandler for MessageReceiver<'_> {
     fn on_result(&mut self, id: u64, result: &Value) {
-        self.platform.mark_heard(self.endpoint);
+        self.platform.mark_received(self.endpoint);
         if id == self.subscription || !self.remove_vote(id) {
             return;
         }
@@ -399,7 +399,7 @@
     }
 
     fn on_notification(&mut self, method: &str, params: &Value) {
-        self.platform.mark_heard(self.endpoint);
+        self.platform.mark_received(self.endpoint);
         if self.endpoint.retired.get() {
             // The newer connection delivers it as well.
             return;
