--- a/crates/marshal/src/client.rs
+++ b/crates/marshal/src/client.rs
@@ -4,7 +4,7 @@
 use crate::clock::Clock;
 use crate::command;
 use crate::reactor::Async;
-use crate::turn::{Signal, quiet, write_now, write_some};
+use crate::turn::{Signal, is_open_without_input, try_write, write_available};
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::net::TcpStream;
@@ -101,27 +101,27 @@
     }
 
     /// Gives the next command its place.
-    pub fn place(&self) -> u64 {
-        let place = self.commands();
+    pub fn reserve_sequence(&self) -> u64 {
+        let sequence = self.commands();
         self.slots.borrow_mut().push_back(Slot::Open(None));
-        place
+        sequence
     }
 
     /// Notes which hit a place is.
-    pub fn bind(&self, place: u64, hit: u32) {
-        let at = place.wrapping_sub(self.first.get()) as usize;
+    pub fn bind(&self, sequence: u64, hit: u32) {
+        let at = sequence.wrapping_sub(self.first.get()) as usize;
         if let Some(Slot::Open(bound)) = self.slots.borrow_mut().get_mut(at) {
             *bound = Some(hit);
         }
     }
 
     /// Gives the answer to the command at `place`; it goes out once those before it have.
-    pub fn answer(&self, place: u64, answer: Answer) {
+    pub fn answer(&self, sequence: u64, answer: Answer) {
         if self.gone.get() || self.cut.get() {
             return;
         }
         let full = self.slots.borrow().len() >= MOST_SLOTS;
-        let at = place.wrapping_sub(self.first.get()) as usize;
+        let at = sequence.wrapping_sub(self.first.get()) as usize;
         if !matches!(self.slots.borrow().get(at), Some(Slot::Open(_))) {
             return;
         }
@@ -166,7 +166,7 @@
         let Some(stream) = self.stream() else { return };
         let bytes = answer.as_slice();
         let mut out = self.out.borrow_mut();
-        let wrote = if out.is_empty() { write_now(&stream, bytes) } else { Ok(0) };
+        let wrote = if out.is_empty() { try_write(&stream, bytes) } else { Ok(0) };
         let Ok(wrote) = wrote else { return self.cut() };
         self.used.set(self.crowd.clock.now());
         let rest = &bytes[wrote..];
@@ -187,7 +187,7 @@
         let (mut out, mut wrote) = (self.out.borrow_mut(), 0);
         // Looking whether there is something to write is no use of the connection.
         if !out.is_empty() {
-            write_some(&stream, &mut out, &mut wrote)?;
+            write_available(&stream, &mut out, &mut wrote)?;
         }
         if wrote > 0 {
             self.used.set(self.crowd.clock.now());
@@ -240,7 +240,7 @@
 
     /// Closing now would lose nothing: nothing is in work, and nothing unread has come.
     pub fn idle(&self) -> bool {
-        self.done() && self.stream().is_some_and(|stream| quiet(&stream))
+        self.done() && self.stream().is_some_and(|stream| is_open_without_input(&stream))
     }
 
     /// The connection is over; the hits that are not answered yet.
--- a/crates/marshal/src/clients.rs
+++ b/crates/marshal/src/clients.rs
@@ -2,9 +2,9 @@
 
 use crate::client::{Answer, Client, Crowd, line};
 use crate::command::{self, BOUNDS, Command, Request, VALUE, understand};
-use crate::inbox::{Arrival, Inbox, Outcome};
+use crate::inbox::{HitEvent, Inbox, IncomingHit};
 use crate::reactor::{Async, Timer};
-use crate::turn::{Turn, read_some, turn};
+use crate::turn::{Wakeup, read_available, wait_for_wakeup};
 use async_executor::LocalExecutor;
 use futures_lite::future::yield_now;
 use std::cell::{Cell, RefCell};
@@ -65,7 +65,7 @@
 
 struct Passed {
     left: usize,
-    place: u64,
+    sequence: u64,
     answer: Vec<u8>,
 }
 
@@ -154,8 +154,10 @@
             // Unread bytes would turn the close into a reset, and the client might never read why.
             let _ = stream.get_ref().shutdown(Shutdown::Write);
             let until = Instant::now() + LINGER;
-            while turn(&stream, true, false, &client.signal, Some(until)).await != Turn::Due {
-                match read_some(&stream, &mut self.scratch.borrow_mut()) {
+            while wait_for_wakeup(&stream, true, false, &client.signal, Some(until)).await
+                != Wakeup::DeadlineReached
+            {
+                match read_available(&stream, &mut self.scratch.borrow_mut()) {
                     Ok(Some([])) | Err(_) => break,
                     _ => {}
                 }
@@ -167,7 +169,7 @@
         let unanswered = client.leaves();
         drop(stream);
         if !unanswered.is_empty() {
-            self.inbox.outcome(Outcome::Left(unanswered));
+            self.inbox.push_hit_event(HitEvent::ClientLeft(unanswered));
         }
         self.count.set(self.count.get() - 1);
     }
@@ -226,9 +228,9 @@
                 // clients are owed is less.
                 (None, _) => Some(Instant::now() + crate::clock::duration(SPARED * 0.25)),
             };
-            if turn(stream, read, client.owes(), &client.signal, due).await == Turn::Readable {
+            if wait_for_wakeup(stream, read, client.owes(), &client.signal, due).await == Wakeup::Readable {
                 let most = reading.passed.as_ref().map_or(reading.held.spare_capacity(), |p| p.left);
-                match read_some(stream, &mut self.scratch.borrow_mut()[..most.min(VALUE)]) {
+                match read_available(stream, &mut self.scratch.borrow_mut()[..most.min(VALUE)]) {
                     Ok(Some([])) | Err(_) => return Ok(()),
                     Ok(Some(bytes)) => {
                         if !under_way && client.asked.get() {
@@ -260,7 +262,7 @@
         let Some((end, true)) = wants else { return Err("no room for a command of such a form") };
         let ask = command::read_list(held.as_slice(), &scanner.elements, &self.names);
         let answer = ask.map_or_else(|why| command::faulty(&why), |ask| self.bounced(ask.group));
-        *passed = Some(Passed { left: end - held.len(), place: client.place(), answer });
+        *passed = Some(Passed { left: end - held.len(), sequence: client.reserve_sequence(), answer });
         client.asked.set(true);
         let length = held.len();
         held.consume(length, 0);
@@ -275,21 +277,22 @@
     /// Says why a connection is read no more; it is closed once that and all before it is answered.
     fn give_up_reading(&self, client: &Rc<Client>, reading: &mut Reading, why: &str) {
         client.closing.set(true);
-        let place = reading.passed.take().map_or_else(|| client.place(), |passed| passed.place);
-        self.faulty(client, place, &format!("protocol error: {why}"));
+        let sequence =
+            reading.passed.take().map_or_else(|| client.reserve_sequence(), |passed| passed.sequence);
+        self.faulty(client, sequence, &format!("protocol error: {why}"));
         let length = reading.held.len();
         reading.held.consume(length, 0);
     }
 
-    fn faulty(&self, client: &Rc<Client>, place: u64, why: &str) {
+    fn faulty(&self, client: &Rc<Client>, sequence: u64, why: &str) {
         debug!("a client's command answered with an error: {why}");
-        client.answer(place, line(&self.ledger, command::faulty(why)));
+        client.answer(sequence, line(&self.ledger, command::faulty(why)));
     }
 
     /// Takes the commands that are whole, for as long as more may be asked.
     fn take_whole(&self, client: &Rc<Client>, reading: &mut Reading) -> Result<(), &'static str> {
-        if let Some(Passed { place, answer, .. }) = reading.passed.take_if(|p| p.left == 0) {
-            client.answer(place, Answer::Line(answer));
+        if let Some(Passed { sequence, answer, .. }) = reading.passed.take_if(|p| p.left == 0) {
+            client.answer(sequence, Answer::Line(answer));
         }
         let Reading { held, scanner, .. } = reading;
         while !held.is_empty() && client.may_ask() {
@@ -305,27 +308,27 @@
             }
             let request = understand(&bytes[..length], &scanner.elements, &self.names);
             scanner.reset();
-            let place = client.place();
+            let sequence = client.reserve_sequence();
             match request {
                 Ok(Request::Hit(ask)) => {
                     let group = ask.group;
                     let Ok(block) = held.take_block_with_extra(length, Purpose::in_flight(group), HIT_BYTES)
                     else {
                         held.consume(length, MIN_CAPACITY_BYTES);
-                        client.answer(place, Answer::Line(self.bounced(group)));
+                        client.answer(sequence, Answer::Line(self.bounced(group)));
                         continue;
                     };
-                    let (command, came) = (Command { block, ask }, self.crowd.clock.now());
+                    let (command, received_at) = (Command { block, ask }, self.crowd.clock.now());
                     let client = client.clone();
-                    self.inbox.arrival(Arrival { client, place, command, came });
+                    self.inbox.push_hit(IncomingHit { client, sequence, command, received_at });
                 }
                 Ok(Request::Other(answer)) => {
                     held.consume(length, MIN_CAPACITY_BYTES);
-                    client.answer(place, line(&self.ledger, answer));
+                    client.answer(sequence, line(&self.ledger, answer));
                 }
                 Err(why) => {
                     held.consume(length, MIN_CAPACITY_BYTES);
-                    self.faulty(client, place, &why);
+                    self.faulty(client, sequence, &why);
                 }
             }
         }
--- a/crates/marshal/src/core.rs
+++ b/crates/marshal/src/core.rs
@@ -5,8 +5,8 @@
 use crate::clock::Clock;
 use crate::command::{self, Command};
 use crate::discovery::Discovery;
-use crate::endings::Ending;
-use crate::inbox::{Arrival, Entry, Inbox, News, Outcome, Stage};
+use crate::endings::EndReason;
+use crate::inbox::{ControlEvent, HitEvent, Inbox, IncomingHit, NodeEntry, StageReport};
 use crate::nodes::{Link, Nodes};
 use crate::platform::Platform;
 use crate::reactor;
@@ -40,7 +40,7 @@
 /// A hit that is not done with: its answer, or the end of a forward, is still to come.
 struct Open {
     client: Rc<Client>,
-    place: u64,
+    sequence: u64,
     command: Command,
     answered: bool,
     forwards: Vec<Forward>,
@@ -136,7 +136,7 @@
     fn answer(&mut self, hit: u32, line: impl FnOnce() -> Vec<u8>) {
         if let Some(open) = self.hits.get_mut(hit).filter(|open| !open.answered) {
             open.answered = true;
-            open.client.answer(open.place, Answer::Line(line()));
+            open.client.answer(open.sequence, Answer::Line(line()));
             self.release(hit);
         }
     }
@@ -151,10 +151,10 @@
         }
     }
 
-    fn give_up(&self, hit: u32, hop: u8, ending: Ending) {
+    fn give_up(&self, hit: u32, hop: u8, reason: EndReason) {
         let forward = self.hits.get(hit).and_then(|open| open.forwards.get(usize::from(hop)));
         if let Some(Forward { link: Some(link), told: false, .. }) = forward {
-            self.nodes.give_up(link, hit, hop, ending);
+            self.nodes.give_up(link, hit, hop, reason);
         }
     }
 }
@@ -164,7 +164,7 @@
         let Some(open) = self.hits.get_mut(hit) else { return };
         let hop = open.forwards.len() as u8;
         let link = match open.answered {
-            true => Err(Ending::NoSuchNode),
+            true => Err(EndReason::NoSuchNode),
             false => self.nodes.forward(node as usize, hit, hop, &open.command, timeout),
         };
         match link {
@@ -173,10 +173,10 @@
                 let limit = Some(self.due.schedule(self.now + timeout, Due::Forward(hit, hop)));
                 open.forwards.push(Forward { sent: self.now, link: Some(link), told: false, limit });
             }
-            Err(ending) => {
+            Err(reason) => {
                 open.forwards.push(Forward { sent: self.now, link: None, told: false, limit: None });
-                debug!("a forward could not be sent: {ending:?}");
-                self.inbox.ended(hit, hop, ending, false);
+                debug!("a forward could not be sent: {reason:?}");
+                self.inbox.push_forward_end(hit, hop, reason, false);
             }
         }
     }
@@ -196,7 +196,7 @@
     }
 
     fn cancel(&mut self, hit: u32, hop: u8) {
-        self.give_up(hit, hop, Ending::CalledOff);
+        self.give_up(hit, hop, EndReason::CalledOff);
     }
 
     fn vote(&mut self, build: u16, stage: u8, verdict: Verdict) {
@@ -261,13 +261,15 @@
 
     /// News first, so that drains and caps bind at once; then answers, then what is due, then new hits.
     fn batch(&mut self, inbox: &Inbox) {
-        while let Some(news) = self.tick(&inbox.news) {
+        while let Some(news) = self.tick(&inbox.control_events) {
             self.news(news);
         }
-        while let Some(outcome) = self.tick(&inbox.outcomes) {
+        while let Some(outcome) = self.tick(&inbox.hit_events) {
             match outcome {
-                Outcome::Ended { hit, hop, ending, sent, value } => self.ended(hit, hop, ending, sent, value),
-                Outcome::Left(hits) => hits.into_iter().for_each(|hit| self.left(hit)),
+                HitEvent::ForwardEnded { hit, hop, reason, sent, value } => {
+                    self.ended(hit, hop, reason, sent, value)
+                }
+                HitEvent::ClientLeft(hits) => hits.into_iter().for_each(|hit| self.left(hit)),
             }
         }
         let now = self.doors.clock.now();
@@ -275,7 +277,7 @@
         while let Some((_, due)) = self.doors.due.pop(now) {
             match due {
                 Due::Token(token) => self.marshal.on_timer(&mut self.doors, now, token),
-                Due::Forward(hit, hop) => self.doors.give_up(hit, hop, Ending::WaitedOut),
+                Due::Forward(hit, hop) => self.doors.give_up(hit, hop, EndReason::WaitedOut),
                 Due::Sweep => {
                     let short =
                         self.doors.ledger.reclaim_action(Purpose::Nodes) == ReclaimAction::DropRemovedNodes;
@@ -291,7 +293,7 @@
             }
         }
         for _ in 0..BATCH {
-            let Some(arrival) = self.tick(&inbox.arrivals) else { break };
+            let Some(arrival) = self.tick(&inbox.incoming_hits) else { break };
             self.arrived(arrival);
         }
     }
@@ -303,33 +305,33 @@
         Some(next)
     }
 
-    fn news(&mut self, news: News) {
+    fn news(&mut self, news: ControlEvent) {
         let now = self.doors.now;
         match news {
-            News::Listed(how, entries, _charge) => self.listed(how, entries),
-            News::ListFailed => self.marshal.on_list_failed(&mut self.doors, now),
-            News::Stage(stage, vote) => self.staged(stage, vote),
-            News::Flagged { node, group, age } => match self.doors.ids.get(&node) {
+            ControlEvent::NodeList(how, entries, _charge) => self.listed(how, entries),
+            ControlEvent::ListFailed => self.marshal.on_list_failed(&mut self.doors, now),
+            ControlEvent::Stage(stage, vote) => self.staged(stage, vote),
+            ControlEvent::WrongAnswerReport { node, group, age } => match self.doors.ids.get(&node) {
                 Some((at, _)) => self.marshal.on_wrong_answer_report(now, *at as u64, group, age),
                 None => warn!("a complaint about an unknown node is skipped"),
             },
-            News::Moved(discovery, platform) => {
+            ControlEvent::AddressesChanged(discovery, platform) => {
                 discovery.into_iter().for_each(|addr| self.doors.discovery.at(addr));
                 platform.into_iter().for_each(|addr| self.doors.platform.at(addr));
             }
-            News::Sums(build, group, n, failed) => {
+            ControlEvent::PlatformCounts(build, group, n, failed) => {
                 self.marshal.on_platform_counts(now, (build, group), (n, failed))
             }
         }
     }
 
-    pub fn listed(&mut self, how: ListUpdate, entries: Vec<Entry>) {
+    pub fn listed(&mut self, how: ListUpdate, entries: Vec<NodeEntry>) {
         debug!("list: {how:?}, {} entries", entries.len());
         let now = self.doors.now;
         let (mut named, mut left_out) = (HashSet::new(), 0);
         self.doors.swept = false;
         self.marshal.on_list_begin(now, how);
-        for (id, addr, place, readiness, build, started) in entries {
+        for (id, addr, attributes, readiness, build, started) in entries {
             let Some(at) = self.doors.number(id) else {
                 // One that is not known gets no forwards: nothing is missed with it.
                 left_out += 1;
@@ -337,7 +339,7 @@
             };
             named.insert(at);
             self.doors.nodes.listed(at, addr, readiness, started);
-            self.marshal.on_list_entry(at as u64, place, readiness, build, started);
+            self.marshal.on_list_entry(at as u64, attributes, readiness, build, started);
         }
         if left_out > 0 {
             warn!("{left_out} nodes of the list are left out: there is no room for their records");
@@ -348,13 +350,13 @@
         self.marshal.on_list_end(&mut self.doors);
     }
 
-    pub fn staged(&mut self, (build, stage, standing, cap, age): Stage, vote: Option<ForwardOutcome>) {
+    pub fn staged(&mut self, (build, stage, standing, cap, age): StageReport, vote: Option<ForwardOutcome>) {
         debug!("platform: build {build}, stage {stage}, {standing:?}, cap {cap}, vote {vote:?}");
         let now = self.doors.now;
         self.marshal.on_stage(&mut self.doors, now, (build, stage), standing, cap, age, vote);
     }
 
-    fn arrived(&mut self, Arrival { client, place, command, came }: Arrival) {
+    fn arrived(&mut self, IncomingHit { client, sequence, command, received_at }: IncomingHit) {
         if client.gone.get() {
             return;
         }
@@ -364,7 +366,7 @@
         self.doors.taken += 1;
         let (group, tenant, key) = (command.ask.group, command.ask.tenant, command.ask.key);
         // The client's wait runs since it sent the hit, not since the hit left this program's queues.
-        let patience = command.ask.patience - (now - came);
+        let patience = command.ask.patience - (now - received_at);
         trace!(
             "hit {} taken: group {group}, tenant {tenant}, waits {} ms",
             command.id(),
@@ -372,12 +374,12 @@
         );
         let forwards = Vec::new();
         let (bound, answered, ends, copy) = (client.clone(), false, None, None);
-        let hit = self.doors.hits.insert(Open { client, place, command, answered, forwards, ends, copy });
-        bound.bind(place, hit);
+        let hit = self.doors.hits.insert(Open { client, sequence, command, answered, forwards, ends, copy });
+        bound.bind(sequence, hit);
         self.marshal.on_hit(&mut self.doors, now, hit, (group, tenant), key, patience, None);
     }
 
-    fn ended(&mut self, hit: u32, hop: u8, ending: Ending, sent: bool, value: Option<Block>) {
+    fn ended(&mut self, hit: u32, hop: u8, reason: EndReason, sent: bool, value: Option<Block>) {
         let now = self.doors.now;
         let Some(open) = self.doors.hits.get_mut(hit) else { return };
         let Some(forward) = open.forwards.get_mut(usize::from(hop)).filter(|f| !f.told) else { return };
@@ -385,15 +387,15 @@
         if let Some(limit) = forward.limit.take() {
             self.doors.due.cancel(limit);
         }
-        let (fate, latency) = (ending.fate(sent), now - forward.sent);
+        let (fate, latency) = (reason.outcome(sent), now - forward.sent);
         trace!(
-            "hit {} forward {hop}: {ending:?} after {} ms",
+            "hit {} forward {hop}: {reason:?} after {} ms",
             open.command.id(),
             latency.as_nanos() / 1_000_000
         );
         if let (Some(value), false) = (value, open.answered) {
             open.answered = true;
-            open.client.answer(open.place, Answer::Value(value));
+            open.client.answer(open.sequence, Answer::Value(value));
         }
         let last = open.answered;
         self.marshal.on_forward_completed(&mut self.doors, now, (hit, hop), fate, last, latency);
--- a/crates/marshal/src/discovery.rs
+++ b/crates/marshal/src/discovery.rs
@@ -1,9 +1,9 @@
 //! Discovery: the whole list and the watch on its changes, over HTTP/1.1. When to ask is up to the module;
 //! every failure is told to it.
 
-use crate::inbox::{Entry, Inbox, News};
+use crate::inbox::{ControlEvent, Inbox, NodeEntry};
 use crate::reactor::Async;
-use crate::turn::{Signal, Turn, connect, read_some, turn};
+use crate::turn::{Signal, Wakeup, connect, read_available, wait_for_wakeup};
 use async_executor::{LocalExecutor, Task};
 use serde::Deserialize;
 use std::borrow::Cow;
@@ -58,7 +58,7 @@
     }
 
     /// One entry; an error says what is wrong with it.
-    fn entry(&self, told: &Server) -> Result<Entry, String> {
+    fn entry(&self, told: &Server) -> Result<NodeEntry, String> {
         let at = |names: &[String], name: &str| names.iter().position(|n| n == name);
         let addr = told.addr.parse().map_err(|_| "addr is not an address and a port")?;
         let readiness = match &*told.state {
@@ -82,7 +82,7 @@
 
     /// Version, whether it is the whole list, and the entries of one list object. It is true as a whole or not at
     /// all: with an entry passed over, a drain could be missed for ever.
-    pub fn list(&self, told: List) -> Result<(u64, bool, Vec<Entry>), String> {
+    pub fn list(&self, told: List) -> Result<(u64, bool, Vec<NodeEntry>), String> {
         let entries: Result<Vec<_>, _> = told.servers.iter().map(|server| self.entry(server)).collect();
         Ok((told.version, told.full, entries?))
     }
@@ -181,7 +181,7 @@
         if let Err(why) = self.read().await {
             info!("discovery: {why}");
             if self.newest() {
-                self.inbox.news(News::ListFailed);
+                self.inbox.push_control_event(ControlEvent::ListFailed);
             }
         }
     }
@@ -238,10 +238,10 @@
         body.clear();
         let (signal, until) = (Signal::default(), Instant::now() + SILENCE);
         loop {
-            if turn(stream, true, false, &signal, Some(until)).await == Turn::Due {
+            if wait_for_wakeup(stream, true, false, &signal, Some(until)).await == Wakeup::DeadlineReached {
                 return Err(format!("silent for {SILENCE:?}"));
             }
-            match read_some(stream, scratch) {
+            match read_available(stream, scratch) {
                 Ok(None) => {}
                 Ok(Some([])) => return Ok(true),
                 Ok(Some(bytes)) => return response.feed(bytes, body).map(|()| false).map_err(Into::into),
@@ -267,7 +267,7 @@
             drop(self.before.take());
         }
         self.version.set(Some(version));
-        self.inbox.news(News::Listed(
+        self.inbox.push_control_event(ControlEvent::NodeList(
             if full { ListUpdate::Full } else { ListUpdate::Delta },
             entries,
             charge,
--- a/crates/marshal/src/endings.rs
+++ b/crates/marshal/src/endings.rs
@@ -1,66 +1,68 @@
-//! Every way in which a forward's connection can end it, and what that means to the module.
+//! Reasons why a forward or the connection that carried it ended, and the outcome each one is reported as.
 
 use std::io::{Error, ErrorKind};
 use stonescale::host::ForwardOutcome;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
-    /// The node's value came.
+pub enum EndReason {
+    /// The node replied with a value.
     Served,
-    /// The node answered that it failed.
+    /// The node replied that it failed.
     SaidFailed,
-    /// The node turned it away unseen.
+    /// The node rejected the forward without running it.
     SaidBusy,
     /// The connection was refused.
     Refused,
-    /// The connection didn't come up in time.
+    /// The connection was not established within the connect timeout.
     NeverUp,
-    /// No descriptor or address was left for a connection.
+    /// No file descriptor, local address or memory was left for a connection.
     NoSocket,
-    /// The node ended the connection.
+    /// The node closed the connection.
     Closed,
-    /// The connection broke.
+    /// The connection failed with an I/O error.
     Broken,
-    /// What came back was no answer to anything sent.
+    /// The node's bytes were not a valid reply to any forward sent.
     Garbled,
-    /// The node was listed as started anew since the connection was opened.
+    /// The node was listed with a start time later than the connection's opening.
     Restarted,
-    /// The node was listed as draining or gone before the forward was written.
+    /// The node was listed as draining or removed before the forward was written.
     Withdrawn,
-    /// The list names no such node, or the hit was over.
+    /// The node is not in the list, or the hit was already answered.
     NoSuchNode,
-    /// The marshal stopped waiting.
+    /// The forward timed out.
     WaitedOut,
-    /// The module called it off.
+    /// The decision module cancelled the forward.
     CalledOff,
-    /// The connection had stood idle long enough.
+    /// The connection exceeded its idle time.
     Idle,
 }
 
-impl Ending {
-    /// Of a connection that failed to come up.
-    pub fn of_connect(error: &Error) -> Self {
+impl EndReason {
+    /// Maps an error from establishing a connection.
+    pub fn from_connect_error(error: &Error) -> Self {
         match error.kind() {
-            ErrorKind::ConnectionRefused => Ending::Refused,
-            ErrorKind::TimedOut => Ending::NeverUp,
-            ErrorKind::AddrNotAvailable | ErrorKind::AddrInUse => Ending::NoSocket,
-            // Out of descriptors, of the process or of the system.
-            _ if matches!(error.raw_os_error(), Some(23 | 24)) => Ending::NoSocket,
-            _ => Ending::Broken,
+            ErrorKind::ConnectionRefused => EndReason::Refused,
+            ErrorKind::TimedOut => EndReason::NeverUp,
+            ErrorKind::AddrNotAvailable | ErrorKind::AddrInUse => EndReason::NoSocket,
+            // ENFILE or EMFILE: the system or the process is out of file descriptors.
+            _ if matches!(error.raw_os_error(), Some(23 | 24)) => EndReason::NoSocket,
+            _ => EndReason::Broken,
         }
     }
 
-    /// The protocol page's table; `sent` tells whether the forward's last byte had been written.
-    pub fn fate(self, sent: bool) -> ForwardOutcome {
+    /// Maps the reason to a forward outcome by the protocol page's table; `sent` tells whether the forward's
+    /// last byte was written.
+    pub fn outcome(self, sent: bool) -> ForwardOutcome {
         match (self, sent) {
-            (Ending::Served, _) => ForwardOutcome::Ok,
-            (Ending::SaidFailed, _) => ForwardOutcome::Error,
-            (Ending::SaidBusy, _) => ForwardOutcome::Rejected,
-            (Ending::WaitedOut, true) => ForwardOutcome::TimedOut,
-            (Ending::CalledOff, true) => ForwardOutcome::Cancelled,
-            (Ending::CalledOff | Ending::Withdrawn | Ending::NoSuchNode | Ending::NoSocket, false) => {
-                ForwardOutcome::Unsent
-            }
+            (EndReason::Served, _) => ForwardOutcome::Ok,
+            (EndReason::SaidFailed, _) => ForwardOutcome::Error,
+            (EndReason::SaidBusy, _) => ForwardOutcome::Rejected,
+            (EndReason::WaitedOut, true) => ForwardOutcome::TimedOut,
+            (EndReason::CalledOff, true) => ForwardOutcome::Cancelled,
+            (
+                EndReason::CalledOff | EndReason::Withdrawn | EndReason::NoSuchNode | EndReason::NoSocket,
+                false,
+            ) => ForwardOutcome::Unsent,
             (_, false) => ForwardOutcome::Unreached,
             (_, true) => ForwardOutcome::Reset,
         }
--- a/crates/marshal/src/inbox.rs
+++ b/crates/marshal/src/inbox.rs
@@ -1,9 +1,9 @@
-//! The queue through which socket tasks reach the core task, drained in batches. It has three lanes, since
-//! news of drains and caps must not wait behind a long row of hits.
+//! Queues through which socket tasks reach the core task, which drains them in batches. There are three, so
+//! that control events such as drains and caps do not wait behind a backlog of hits.
 
 use crate::client::Client;
 use crate::command::Command;
-use crate::endings::Ending;
+use crate::endings::EndReason;
 use crate::turn::Signal;
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -14,81 +14,82 @@
 use stonescale_budget::Charge;
 use stonescale_budget::buffer::Block;
 
-/// An entry of the node list: id, address, place, readiness, build and listed start.
-pub type Entry = (String, SocketAddr, NodeAttributes, Readiness, u16, Time);
+/// Entry of the node list: id, address, attributes, readiness, build and listed start time.
+pub type NodeEntry = (String, SocketAddr, NodeAttributes, Readiness, u16, Time);
 
-/// Build, stage, standing, cap, and for how long it has stood so.
-pub type Stage = (u16, u8, BuildStatus, f64, Span);
+/// Build, stage, status, cap, and how long the build has had this status.
+pub type StageReport = (u16, u8, BuildStatus, f64, Span);
 
-pub enum News {
-    /// With what the entries are charged to.
-    Listed(ListUpdate, Vec<Entry>, Charge),
+pub enum ControlEvent {
+    /// A node list update, with the memory charge that covers its entries.
+    NodeList(ListUpdate, Vec<NodeEntry>, Charge),
     ListFailed,
-    /// Where the newest build stands; as the answer to a vote, how that ended.
-    Stage(Stage, Option<ForwardOutcome>),
-    Flagged {
+    /// State of the newest build; in the response to a vote, with the outcome of that vote.
+    Stage(StageReport, Option<ForwardOutcome>),
+    WrongAnswerReport {
         node: String,
         group: usize,
         age: Span,
     },
-    /// Build, path group, forwards counted over all marshals, and how many of them failed.
-    Sums(u16, usize, u32, u32),
-    /// Where discovery and the platform are from now on, if not where they were.
-    Moved(Option<SocketAddr>, Option<SocketAddr>),
+    /// Build, path group, number of forwards counted over all marshals, and how many of them failed.
+    PlatformCounts(u16, usize, u32, u32),
+    /// New addresses of discovery and of the platform; `None` for one that is unchanged.
+    AddressesChanged(Option<SocketAddr>, Option<SocketAddr>),
 }
 
-pub enum Outcome {
-    Ended {
+pub enum HitEvent {
+    ForwardEnded {
         hit: u32,
         hop: u8,
-        ending: Ending,
+        reason: EndReason,
         sent: bool,
-        /// The node's value, if it served.
+        /// The node's value if it served the forward.
         value: Option<Block>,
     },
-    /// A client is gone, with these hits unanswered.
-    Left(Vec<u32>),
+    /// A client disconnected; these hits of it are unanswered.
+    ClientLeft(Vec<u32>),
 }
 
-/// A hit that a client sent: where its answer goes, what it is, and when it came.
-pub struct Arrival {
+/// A hit received from a client: the connection and sequence number to reply to, the command, and when it
+/// arrived.
+pub struct IncomingHit {
     pub client: Rc<Client>,
-    pub place: u64,
+    pub sequence: u64,
     pub command: Command,
-    pub came: Time,
+    pub received_at: Time,
 }
 
 #[derive(Default)]
 pub struct Inbox {
-    pub news: RefCell<VecDeque<News>>,
-    pub outcomes: RefCell<VecDeque<Outcome>>,
-    pub arrivals: RefCell<VecDeque<Arrival>>,
+    pub control_events: RefCell<VecDeque<ControlEvent>>,
+    pub hit_events: RefCell<VecDeque<HitEvent>>,
+    pub incoming_hits: RefCell<VecDeque<IncomingHit>>,
     pub signal: Signal,
 }
 
 impl Inbox {
-    pub fn news(&self, news: News) {
-        self.news.borrow_mut().push_back(news);
+    pub fn push_control_event(&self, event: ControlEvent) {
+        self.control_events.borrow_mut().push_back(event);
         self.signal.raise();
     }
 
-    pub fn outcome(&self, outcome: Outcome) {
-        self.outcomes.borrow_mut().push_back(outcome);
+    pub fn push_hit_event(&self, event: HitEvent) {
+        self.hit_events.borrow_mut().push_back(event);
         self.signal.raise();
     }
 
-    pub fn ended(&self, hit: u32, hop: u8, ending: Ending, sent: bool) {
-        self.outcome(Outcome::Ended { hit, hop, ending, sent, value: None });
+    pub fn push_forward_end(&self, hit: u32, hop: u8, reason: EndReason, sent: bool) {
+        self.push_hit_event(HitEvent::ForwardEnded { hit, hop, reason, sent, value: None });
     }
 
-    pub fn arrival(&self, arrival: Arrival) {
-        self.arrivals.borrow_mut().push_back(arrival);
+    pub fn push_hit(&self, hit: IncomingHit) {
+        self.incoming_hits.borrow_mut().push_back(hit);
         self.signal.raise();
     }
 
     pub fn is_empty(&self) -> bool {
-        self.news.borrow().is_empty()
-            && self.outcomes.borrow().is_empty()
-            && self.arrivals.borrow().is_empty()
+        self.control_events.borrow().is_empty()
+            && self.hit_events.borrow().is_empty()
+            && self.incoming_hits.borrow().is_empty()
     }
 }
--- a/crates/marshal/src/nodes.rs
+++ b/crates/marshal/src/nodes.rs
@@ -3,10 +3,13 @@
 
 use crate::clock::{Clock, duration};
 use crate::command::{Command, VALUE};
-use crate::endings::Ending;
-use crate::inbox::{Inbox, Outcome};
+use crate::endings::EndReason;
+use crate::inbox::{HitEvent, Inbox};
 use crate::reactor::Async;
-use crate::turn::{Signal, Turn, connect, quiet, read_some, turn, write_pieces, write_some};
+use crate::turn::{
+    Signal, Wakeup, connect, is_open_without_input, read_available, try_write_vectored, wait_for_wakeup,
+    write_available,
+};
 use async_executor::LocalExecutor;
 use std::cell::{Cell, RefCell};
 use std::collections::{HashSet, VecDeque};
@@ -61,7 +64,7 @@
     /// It takes no further forwards.
     retired: Cell<bool>,
     /// How it is to end, once that is asked for.
-    end: Cell<Option<Ending>>,
+    end: Cell<Option<EndReason>>,
     used: Cell<Time>,
     signal: Signal,
     _record: Charge,
@@ -76,10 +79,10 @@
         self.idle() && now - self.used.get() >= REST
     }
 
-    fn finish(&self, ending: Ending) {
+    fn finish(&self, reason: EndReason) {
         self.retired.set(true);
         if self.end.get().is_none() {
-            self.end.set(Some(ending));
+            self.end.set(Some(reason));
         }
         self.signal.raise();
     }
@@ -91,21 +94,21 @@
 
     /// Nothing has come on it that nobody waits for, and the node has not ended it.
     fn sound(&self) -> bool {
-        self.stream.borrow().as_ref().is_none_or(|stream| quiet(stream))
+        self.stream.borrow().as_ref().is_none_or(|stream| is_open_without_input(stream))
     }
 
     /// Puts a forward on the connection: writes what it takes now, and queues the rest if there is room. Where it went
     /// out in part only, the connection ends.
-    fn queue(&self, hit: u32, hop: u8, command: &Command, wait: Span) -> Result<(), Ending> {
+    fn queue(&self, hit: u32, hop: u8, command: &Command, wait: Span) -> Result<(), EndReason> {
         let mut out = self.out.borrow_mut();
         command.pieces(wait, |pieces| {
             let length: usize = pieces.iter().map(|p| p.len()).sum();
             let stream = self.stream.borrow();
             let wrote = match stream.as_ref().filter(|_| out.is_empty()) {
-                Some(stream) => write_pieces(stream, pieces).map_err(|_| Ending::Broken),
+                Some(stream) => try_write_vectored(stream, pieces).map_err(|_| EndReason::Broken),
                 None => Ok(0),
             };
-            let wrote = wrote.inspect_err(|ending| self.finish(*ending))?;
+            let wrote = wrote.inspect_err(|reason| self.finish(*reason))?;
             self.written.set(self.written.get() + wrote as u64);
             let put = |out: &mut Buffer| {
                 out.reserve(length - wrote)?;
@@ -119,9 +122,9 @@
             };
             put(&mut out).map_err(|_: BudgetExceeded| {
                 if wrote > 0 {
-                    self.finish(Ending::NoSocket);
+                    self.finish(EndReason::NoSocket);
                 }
-                Ending::NoSocket
+                EndReason::NoSocket
             })?;
             self.queued.set(self.queued.get() + length as u64);
             Ok(())
@@ -135,14 +138,14 @@
     }
 
     /// Writes what can be written now.
-    fn flush(&self) -> Result<(), Ending> {
+    fn flush(&self) -> Result<(), EndReason> {
         let stream = self.stream.borrow();
         let Some(stream) = stream.as_ref() else { return Ok(()) };
         let mut out = self.out.borrow_mut();
         let mut written = self.written.get();
-        let wrote = write_some(stream, &mut out, &mut written);
+        let wrote = write_available(stream, &mut out, &mut written);
         self.written.set(written);
-        wrote.map(|_| ()).map_err(|_| Ending::Broken)
+        wrote.map(|_| ()).map_err(|_| EndReason::Broken)
     }
 }
 
@@ -188,7 +191,7 @@
         }
         let links = self.stands[node].take().map_or(Vec::new(), |was| {
             if was.addr != addr {
-                was.links.iter().for_each(|l| Self::leave(l, Ending::Withdrawn));
+                was.links.iter().for_each(|l| Self::leave(l, EndReason::Withdrawn));
                 Vec::new()
             } else {
                 was.links
@@ -196,10 +199,10 @@
         });
         for link in &links {
             if readiness != Readiness::Ready {
-                Self::leave(link, Ending::Withdrawn);
+                Self::leave(link, EndReason::Withdrawn);
             } else if link.opened < started {
                 // The process that it leads to is gone, even if its machine said nothing.
-                link.finish(Ending::Restarted);
+                link.finish(EndReason::Restarted);
             }
         }
         let gone = (readiness == Readiness::Gone).then(|| self.clock.now());
@@ -207,10 +210,10 @@
     }
 
     /// Lets what was written be answered; nothing else goes out on it.
-    fn leave(link: &Link, ending: Ending) {
+    fn leave(link: &Link, reason: EndReason) {
         link.retired.set(true);
         if link.written.get() == 0 || link.idle() {
-            link.finish(ending);
+            link.finish(reason);
         }
     }
 
@@ -219,7 +222,7 @@
         for (at, stand) in self.stands.iter_mut().enumerate() {
             if let Some(stand) = stand.as_mut().filter(|_| !named.contains(&at)) {
                 stand.gone = stand.gone.or(Some(self.clock.now()));
-                stand.links.iter().for_each(|l| Self::leave(l, Ending::Withdrawn));
+                stand.links.iter().for_each(|l| Self::leave(l, EndReason::Withdrawn));
             }
         }
     }
@@ -233,9 +236,9 @@
     /// Sends a hit's command to a node, stating `wait`.
     pub fn forward(
         &mut self, node: usize, hit: u32, hop: u8, command: &Command, wait: Span,
-    ) -> Result<Rc<Link>, Ending> {
+    ) -> Result<Rc<Link>, EndReason> {
         let now = self.clock.now();
-        let stand = self.stands.get_mut(node).and_then(Option::as_mut).ok_or(Ending::NoSuchNode)?;
+        let stand = self.stands.get_mut(node).and_then(Option::as_mut).ok_or(EndReason::NoSuchNode)?;
         let addr = stand.addr;
         stand.links.retain(|l| !l.retired.get());
         // The one used last is the least likely to be closed by the node at this moment.
@@ -248,7 +251,7 @@
                 link.queue(hit, hop, command, wait)?;
                 return Ok(link);
             }
-            link.finish(Ending::Closed);
+            link.finish(EndReason::Closed);
         }
         // A storm of new connections costs node and marshal more than waiting behind another forward: one at a
         // time comes up to a node.
@@ -260,7 +263,7 @@
                 // What one node does not read must not take the room of what goes to the others.
                 let queued: usize = stand.links.iter().map(|l| l.out.borrow().charged_bytes()).sum();
                 if queued > self.ledger.cap(Purpose::NodeConnections) / NODE_PART {
-                    return Err(Ending::NoSocket);
+                    return Err(EndReason::NoSocket);
                 }
                 link.queue(hit, hop, command, wait)?;
                 return Ok(link);
@@ -268,12 +271,12 @@
             // This node has none to share: another's idle one goes for it.
             let all = self.stands.iter().flatten().flat_map(|s| &s.links);
             let idle = all.filter(|l| l.idle() && !l.retired.get()).min_by_key(|l| l.used.get());
-            idle.ok_or(Ending::NoSocket)?.finish(Ending::Idle);
+            idle.ok_or(EndReason::NoSocket)?.finish(EndReason::Idle);
         }
         let record = self
             .ledger
             .charge(Purpose::NodeConnections, NODE_CONNECTION_BYTES)
-            .map_err(|_| Ending::NoSocket)?;
+            .map_err(|_| EndReason::NoSocket)?;
         let link = Rc::new(Link {
             opened: now,
             stream: RefCell::default(),
@@ -288,7 +291,7 @@
             _record: record,
         });
         link.queue(hit, hop, command, wait)?;
-        let stand = self.stands.get_mut(node).and_then(Option::as_mut).ok_or(Ending::NoSuchNode)?;
+        let stand = self.stands.get_mut(node).and_then(Option::as_mut).ok_or(EndReason::NoSuchNode)?;
         stand.links.push(link.clone());
         self.open.set(self.open.get() + 1);
         let carrier = Carrier {
@@ -305,7 +308,7 @@
     }
 
     /// Stops waiting for a forward. Its connection is closed, unless others' forwards are on it too.
-    pub fn give_up(&self, link: &Link, hit: u32, hop: u8, ending: Ending) {
+    pub fn give_up(&self, link: &Link, hit: u32, hop: u8, reason: EndReason) {
         let mut flights = link.flights.borrow_mut();
         let Some(flight) = flights.iter_mut().find(|f| (f.hit, f.hop) == (hit, hop) && !f.told) else {
             return;
@@ -316,9 +319,9 @@
         drop(flights);
         link.retired.set(true);
         if alone {
-            link.finish(ending);
+            link.finish(reason);
         }
-        self.inbox.ended(hit, hop, ending, sent);
+        self.inbox.push_forward_end(hit, hop, reason, sent);
     }
 
     /// Closes what has stood idle for long; the node would, and a hit might be lost on the way. Forgets nodes
@@ -333,7 +336,7 @@
                 if pressed {
                     self.ledger.record_reclaimed(Purpose::NodeConnections, NODE_CONNECTION_BYTES);
                 }
-                link.finish(Ending::Idle);
+                link.finish(EndReason::Idle);
             }
         }
         let patience = if short { Span::ZERO } else { self.idle };
@@ -379,29 +382,29 @@
 
 impl Carrier {
     async fn run(self, addr: SocketAddr, up_within: Span) {
-        let ending = match self.come_up(addr, up_within).await {
+        let reason = match self.come_up(addr, up_within).await {
             Ok(()) => self.carry().await,
-            Err(ending) => ending,
+            Err(reason) => reason,
         };
-        self.link.finish(ending);
+        self.link.finish(reason);
         self.link.stream.take();
         self.open.set(self.open.get() - 1);
         let flights = std::mem::take(&mut *self.link.flights.borrow_mut());
         if !flights.is_empty() {
-            debug!("connection to {addr} ended with {} forwards: {ending:?}", flights.len());
+            debug!("connection to {addr} ended with {} forwards: {reason:?}", flights.len());
         }
         for flight in flights.into_iter().filter(|f| !f.told) {
             let sent = self.link.sent(&flight);
-            self.inbox.ended(flight.hit, flight.hop, ending, sent);
+            self.inbox.push_forward_end(flight.hit, flight.hop, reason, sent);
         }
     }
 
-    async fn come_up(&self, addr: SocketAddr, up_within: Span) -> Result<(), Ending> {
+    async fn come_up(&self, addr: SocketAddr, up_within: Span) -> Result<(), EndReason> {
         let asked = async {
             loop {
                 self.link.signal.wait().await;
-                if let Some(ending) = self.link.end.get() {
-                    return Err(ending);
+                if let Some(reason) = self.link.end.get() {
+                    return Err(reason);
                 }
             }
         };
@@ -409,7 +412,7 @@
             let stream = connect(addr, duration(up_within)).await;
             stream.map_err(|e| {
                 info!("connection to {addr} did not come up: {e}");
-                Ending::of_connect(&e)
+                EndReason::from_connect_error(&e)
             })
         };
         let stream = futures_lite::future::or(asked, up).await?;
@@ -417,19 +420,19 @@
         Ok(())
     }
 
-    async fn carry(&self) -> Ending {
+    async fn carry(&self) -> EndReason {
         let link = &self.link;
-        let Some(stream) = link.stream.borrow().clone() else { return Ending::Broken };
+        let Some(stream) = link.stream.borrow().clone() else { return EndReason::Broken };
         let mut held = Buffer::with_prepaid(&self.ledger, Purpose::NodeAnswers);
         let mut scanner = Scanner::new(BOUNDS);
         // When the answer began that is not whole yet.
         let mut begun = None;
         loop {
-            if let Some(ending) = link.end.get() {
-                return ending;
+            if let Some(reason) = link.end.get() {
+                return reason;
             }
-            if let Err(ending) = link.flush() {
-                return ending;
+            if let Err(reason) = link.flush() {
+                return reason;
             }
             let more = match scanner.required_length() {
                 None if held.spare_capacity() > 0 => 0,
@@ -442,31 +445,33 @@
             let over = begun.map(|at| at + self.part_within);
             let again = (!room).then(|| Instant::now() + AGAIN);
             let due = over.into_iter().chain(again).min();
-            match turn(&stream, room, write, &link.signal, due).await {
-                Turn::Readable => {}
+            match wait_for_wakeup(&stream, room, write, &link.signal, due).await {
+                Wakeup::Readable => {}
                 // A length that doesn't fit, or a line without an end: the rest will never come.
-                Turn::Due if over.is_some_and(|at| at <= Instant::now()) => return Ending::Garbled,
+                Wakeup::DeadlineReached if over.is_some_and(|at| at <= Instant::now()) => {
+                    return EndReason::Garbled;
+                }
                 _ => continue,
             }
             {
                 let mut scratch = self.scratch.borrow_mut();
                 let most = held.spare_capacity().min(VALUE);
-                match read_some(&stream, &mut scratch[..most]) {
-                    Ok(Some([])) => return Ending::Closed,
+                match read_available(&stream, &mut scratch[..most]) {
+                    Ok(Some([])) => return EndReason::Closed,
                     // There is room for all that was read.
-                    Ok(Some(bytes)) if held.extend(bytes).is_err() => return Ending::Garbled,
+                    Ok(Some(bytes)) if held.extend(bytes).is_err() => return EndReason::Garbled,
                     Ok(Some(_)) => {}
                     Ok(None) => continue,
-                    Err(_) => return Ending::Broken,
+                    Err(_) => return EndReason::Broken,
                 }
             }
             if let Err(why) = self.take_answers(&mut scanner, &mut held) {
                 warn!("a node's answer was no answer: {why}");
-                return Ending::Garbled;
+                return EndReason::Garbled;
             }
             begun = (!held.is_empty()).then(|| begun.unwrap_or_else(Instant::now));
             if link.retired.get() && link.idle() {
-                return Ending::Idle;
+                return EndReason::Idle;
             }
         }
     }
@@ -476,42 +481,42 @@
             let bytes = held.as_slice();
             let Some(length) = scanner.scan(bytes)? else { return Ok(()) };
             let first = scanner.elements.first().ok_or("empty array")?;
-            let ending = match (scanner.is_array, first.kind) {
+            let reason = match (scanner.is_array, first.kind) {
                 // Load report and null that may follow are read past.
-                (true, ElementKind::BulkString) => Ending::Served,
+                (true, ElementKind::BulkString) => EndReason::Served,
                 (false, ElementKind::Error) if !known(&bytes[first.payload.clone()]) => {
                     return Err("an error of no known form");
                 }
                 (false, ElementKind::Error) if bytes[first.payload.clone()].starts_with(b"BUSY") => {
-                    Ending::SaidBusy
+                    EndReason::SaidBusy
                 }
-                (false, ElementKind::Error) => Ending::SaidFailed,
+                (false, ElementKind::Error) => EndReason::SaidFailed,
                 _ => return Err("neither a value nor an error"),
             };
-            if ending == Ending::SaidFailed && bytes[first.payload.clone()].starts_with(b"SYNTAX") {
+            if reason == EndReason::SaidFailed && bytes[first.payload.clone()].starts_with(b"SYNTAX") {
                 warn!("a node found a forward malformed");
             }
             let place = first.encoded.clone();
             let mut flights = self.link.flights.borrow_mut();
             let flight = flights.pop_front_if(|f| self.link.sent(f)).ok_or("no forward was out")?;
             drop(flights);
-            let wanted = !flight.told && ending == Ending::Served;
+            let wanted = !flight.told && reason == EndReason::Served;
             let value = wanted.then(|| held.take_block(length, Purpose::NodeAnswers));
             if !matches!(value, Some(Ok(_))) {
                 held.consume(length, MIN_CAPACITY_BYTES);
             }
             if !flight.told {
                 let (hit, hop, sent) = (flight.hit, flight.hop, true);
-                let (ending, value) = match value {
-                    None => (ending, None),
+                let (reason, value) = match value {
+                    None => (reason, None),
                     Some(Ok(mut block)) => {
                         block.narrow(place);
-                        (ending, Some(block))
+                        (reason, Some(block))
                     }
                     // It ran, and there is no room for what it said.
-                    Some(Err(_)) => (Ending::Garbled, None),
+                    Some(Err(_)) => (EndReason::Garbled, None),
                 };
-                self.inbox.outcome(Outcome::Ended { hit, hop, ending, sent, value });
+                self.inbox.push_hit_event(HitEvent::ForwardEnded { hit, hop, reason, sent, value });
             }
             self.link.used.set(self.clock.now());
             scanner.reset();
--- a/crates/marshal/src/platform.rs
+++ b/crates/marshal/src/platform.rs
@@ -2,9 +2,9 @@
 //! one to its old address stays until the new one is heard.
 
 use crate::clock::duration;
-use crate::inbox::{Inbox, News, Stage};
+use crate::inbox::{ControlEvent, Inbox, StageReport};
 use crate::reactor::{Async, Timer};
-use crate::turn::{Signal, Turn, connect, read_some, turn, write_some};
+use crate::turn::{Signal, Wakeup, connect, read_available, wait_for_wakeup, write_available};
 use async_executor::LocalExecutor;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -76,7 +76,7 @@
 }
 
 /// The state of the newest build as the platform words it.
-pub fn stage(told: &Value) -> Result<Stage, String> {
+pub fn stage(told: &Value) -> Result<StageReport, String> {
     let number = |key: &str| told.get(key).and_then(Value::as_f64).ok_or(format!("{key} is not a number"));
     let build = Some(number("build")?).filter(|b| (0.0..65536.0).contains(b)).ok_or("build is no build")?;
     let stage = Some(number("stage")?).filter(|s| (0.0..256.0).contains(s)).ok_or("stage is no stage")?;
@@ -141,7 +141,7 @@
     /// Tells the module how a vote without a usable answer ended.
     fn failed(&self, fate: ForwardOutcome) {
         let none = (0, 0, BuildStatus::Withdrawn, 0.0, Span::ZERO);
-        self.inbox.news(News::Stage(none, Some(fate)));
+        self.inbox.push_control_event(ControlEvent::Stage(none, Some(fate)));
     }
 
     async fn run(self: Rc<Self>, post: Rc<Post>) {
@@ -246,9 +246,11 @@
                 return format!("broke: {e}");
             }
             let due = self.next_due(post).map_or(silent_at, |due| due.min(silent_at));
-            match turn(stream, true, !line.out.is_empty(), &post.signal, Some(due)).await {
-                Turn::Due if Instant::now() >= silent_at => return format!("silent for {SILENCE:?}"),
-                Turn::Readable => match read_some(stream, &mut scratch) {
+            match wait_for_wakeup(stream, true, !line.out.is_empty(), &post.signal, Some(due)).await {
+                Wakeup::DeadlineReached if Instant::now() >= silent_at => {
+                    return format!("silent for {SILENCE:?}");
+                }
+                Wakeup::Readable => match read_available(stream, &mut scratch) {
                     Ok(None) => {}
                     Ok(Some([])) => return "ended by the other side".into(),
                     Ok(Some(bytes)) => {
@@ -313,7 +315,7 @@
     }
 
     fn flush(&mut self, stream: &Async<TcpStream>) -> std::io::Result<()> {
-        write_some(stream, &mut self.out, &mut self.written).map(|_| ())
+        write_available(stream, &mut self.out, &mut self.written).map(|_| ())
     }
 }
 
@@ -343,7 +345,9 @@
             return;
         }
         match stage(result) {
-            Ok(stage) => self.platform.inbox.news(News::Stage(stage, Some(ForwardOutcome::Ok))),
+            Ok(stage) => {
+                self.platform.inbox.push_control_event(ControlEvent::Stage(stage, Some(ForwardOutcome::Ok)))
+            }
             Err(why) => {
                 self.platform.failed(ForwardOutcome::TimedOut);
                 self.unread = Some(why);
@@ -377,19 +381,28 @@
             // Only some platforms tell what they counted.
             "metrics" => match (number("build"), group(), number("count"), number("failed")) {
                 (Some(build), Some(group), Some(n), Some(failed)) => {
-                    self.platform.inbox.news(News::Sums(build as u16, group, n as u32, failed as u32));
+                    self.platform.inbox.push_control_event(ControlEvent::PlatformCounts(
+                        build as u16,
+                        group,
+                        n as u32,
+                        failed as u32,
+                    ));
                 }
                 _ => self.unread = Some("build, class, count or failed of metrics".into()),
             },
             "progress" => match stage(params) {
-                Ok(stage) => self.platform.inbox.news(News::Stage(stage, None)),
+                Ok(stage) => self.platform.inbox.push_control_event(ControlEvent::Stage(stage, None)),
                 Err(why) => self.unread = Some(why),
             },
             "complaint" => {
                 let age = number("age_ms").map(|ms| Span::from_seconds(ms.max(0.0) / 1e3));
                 match (text("server"), group(), age) {
                     (Some(node), Some(group), Some(age)) => {
-                        self.platform.inbox.news(News::Flagged { node: node.to_owned(), group, age });
+                        self.platform.inbox.push_control_event(ControlEvent::WrongAnswerReport {
+                            node: node.to_owned(),
+                            group,
+                            age,
+                        });
                     }
                     _ => self.unread = Some("server, class or age_ms of a complaint".into()),
                 }
--- a/crates/marshal/src/serve.rs
+++ b/crates/marshal/src/serve.rs
@@ -6,7 +6,7 @@
 use crate::clock::{Clock, duration};
 use crate::core::{Core, Doors};
 use crate::discovery::{Discovery, List, Places};
-use crate::inbox::{Entry, Inbox, News};
+use crate::inbox::{ControlEvent, Inbox, NodeEntry};
 use crate::nodes::Nodes;
 use crate::platform::{self, Platform};
 use crate::reactor::{self, Async, Timer};
@@ -88,7 +88,7 @@
 }
 
 /// The node list that the configuration holds.
-fn known(root: &Value, places: &Places) -> Result<(u64, bool, Vec<Entry>), String> {
+fn known(root: &Value, places: &Places) -> Result<(u64, bool, Vec<NodeEntry>), String> {
     let list = List::deserialize(startup::known(root)?).map_err(|e| format!("known: {e}"))?;
     places.list(list).map_err(|e| format!("known: {e}"))
 }
@@ -230,7 +230,9 @@
             operator = read.operator;
         }
         let moved = |now: SocketAddr, was: SocketAddr| (now != was).then_some(now);
-        parts.inbox.news(News::Moved(moved(now.0, there.0), moved(now.1, there.1)));
+        parts
+            .inbox
+            .push_control_event(ControlEvent::AddressesChanged(moved(now.0, there.0), moved(now.1, there.1)));
         there = now;
     }
 }
--- a/crates/marshal/src/turn.rs
+++ b/crates/marshal/src/turn.rs
@@ -1,4 +1,5 @@
-//! What a socket task waits for: its socket, a call from the core task, or a time.
+//! Waiting for the events a socket task handles (socket readiness, a signal from the core task, a deadline),
+//! and non-blocking socket I/O.
 
 use crate::reactor::{self, Async, Timer};
 use futures_lite::future::{or, pending};
@@ -10,7 +11,8 @@
 use std::time::{Duration, Instant};
 use stonescale_budget::Buffer;
 
-/// Raised by one side, waited for by one task on the other.
+/// Notification from one task to another. Stays raised until the waiting task sees it; at most one task may
+/// wait.
 #[derive(Default)]
 pub struct Signal {
     raised: Cell<bool>,
@@ -38,54 +40,55 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Turn {
+pub enum Wakeup {
     Readable,
     Writable,
-    Called,
-    Due,
+    Signaled,
+    DeadlineReached,
 }
 
-/// Waits for the next thing to do; reading and writing only where wanted.
-pub async fn turn(
-    stream: &Async<TcpStream>, read: bool, write: bool, signal: &Signal, due: Option<Instant>,
-) -> Turn {
+/// Waits for the next event; for readability and writability only if `read` and `write` ask for it.
+pub async fn wait_for_wakeup(
+    stream: &Async<TcpStream>, read: bool, write: bool, signal: &Signal, deadline: Option<Instant>,
+) -> Wakeup {
     let readable = async {
         match read {
             true => stream.readable().await,
             false => pending().await,
         }
-        Turn::Readable
+        Wakeup::Readable
     };
     let writable = async {
         match write {
             true => stream.writable().await,
             false => pending().await,
         }
-        Turn::Writable
+        Wakeup::Writable
     };
-    let called = async {
+    let signaled = async {
         signal.wait().await;
-        Turn::Called
+        Wakeup::Signaled
     };
-    let due = async {
-        match due {
+    let deadline_reached = async {
+        match deadline {
             Some(at) => Timer::at(at).await,
             None => pending().await,
         }
-        Turn::Due
+        Wakeup::DeadlineReached
     };
-    or(or(called, readable), or(writable, due)).await
+    or(or(signaled, readable), or(writable, deadline_reached)).await
 }
 
-/// Reads what is there into `scratch`; none where nothing is yet, an empty slice at the stream's end.
-pub fn read_some<'a>(stream: &Async<TcpStream>, scratch: &'a mut [u8]) -> io::Result<Option<&'a [u8]>> {
+/// Reads the available bytes into `scratch`: `None` if there are none yet, an empty slice at the end of the
+/// stream.
+pub fn read_available<'a>(stream: &Async<TcpStream>, scratch: &'a mut [u8]) -> io::Result<Option<&'a [u8]>> {
     loop {
         match stream.get_ref().read(scratch) {
-            Ok(n) => {
-                if n < scratch.len() {
+            Ok(count) => {
+                if count < scratch.len() {
                     stream.drained();
                 }
-                return Ok(Some(&scratch[..n]));
+                return Ok(Some(&scratch[..count]));
             }
             Err(e) if e.kind() == ErrorKind::WouldBlock => {
                 stream.drained();
@@ -97,28 +100,28 @@
     }
 }
 
-/// Nothing has come that was not read, and the other side has not ended the stream.
-pub fn quiet(stream: &Async<TcpStream>) -> bool {
+/// Whether no unread input is pending and the peer has not closed the stream.
+pub fn is_open_without_input(stream: &Async<TcpStream>) -> bool {
     matches!(stream.get_ref().peek(&mut [0]), Err(e) if e.kind() == ErrorKind::WouldBlock)
 }
 
-/// Most pieces that a message is written in.
-const PIECES: usize = 8;
+/// Upper bound on the slices of one vectored write.
+const MAX_PIECES: usize = 8;
 
-/// Writes what the connection takes of `bytes` now, and says how much that was.
-pub fn write_now(stream: &Async<TcpStream>, bytes: &[u8]) -> io::Result<usize> {
-    now_or_not(stream, |mut socket| socket.write(bytes))
+/// Writes as much of `bytes` as the socket accepts now, and returns the number of bytes written.
+pub fn try_write(stream: &Async<TcpStream>, bytes: &[u8]) -> io::Result<usize> {
+    retry_interrupted(stream, |mut socket| socket.write(bytes))
 }
 
-/// The same for the pieces of one message, `PIECES` at most.
-pub fn write_pieces(stream: &Async<TcpStream>, pieces: &[&[u8]]) -> io::Result<usize> {
-    let mut slices = [IoSlice::new(&[]); PIECES];
+/// The same for the slices of one message, at most `MAX_PIECES` of them.
+pub fn try_write_vectored(stream: &Async<TcpStream>, pieces: &[&[u8]]) -> io::Result<usize> {
+    let mut slices = [IoSlice::new(&[]); MAX_PIECES];
     slices.iter_mut().zip(pieces).for_each(|(slice, piece)| *slice = IoSlice::new(piece));
-    let used = pieces.len().min(PIECES);
-    now_or_not(stream, |mut socket| socket.write_vectored(&slices[..used]))
+    let used = pieces.len().min(MAX_PIECES);
+    retry_interrupted(stream, |mut socket| socket.write_vectored(&slices[..used]))
 }
 
-fn now_or_not(
+fn retry_interrupted(
     stream: &Async<TcpStream>, write: impl Fn(&TcpStream) -> io::Result<usize>,
 ) -> io::Result<usize> {
     loop {
@@ -128,30 +131,32 @@
                 return Ok(0);
             }
             Err(e) if e.kind() == ErrorKind::Interrupted => {}
-            wrote => return wrote,
+            result => return result,
         }
     }
 }
 
-/// Writes what can be written now, counting it in `written` also where the connection breaks. True once
-/// nothing is left.
-pub fn write_some(stream: &Async<TcpStream>, out: &mut Buffer, written: &mut u64) -> io::Result<bool> {
-    while !out.is_empty() {
-        let n = write_now(stream, out.as_slice())?;
-        if n == 0 {
+/// Writes as much of the buffer as the socket accepts now, and adds the bytes written to `written`, also if
+/// the connection then fails. Returns true once the buffer is empty.
+pub fn write_available(
+    stream: &Async<TcpStream>, buffer: &mut Buffer, written: &mut u64,
+) -> io::Result<bool> {
+    while !buffer.is_empty() {
+        let count = try_write(stream, buffer.as_slice())?;
+        if count == 0 {
             return Ok(false);
         }
-        out.consume(n, 0);
-        *written += n as u64;
+        buffer.consume(count, 0);
+        *written += count as u64;
     }
     Ok(true)
 }
 
-/// Connects within `limit`; an error of kind `TimedOut` where the connection doesn't come up.
-pub async fn connect(addr: SocketAddr, limit: Duration) -> io::Result<Async<TcpStream>> {
-    let late = async {
-        Timer::after(limit).await;
+/// Connects within `timeout`; fails with `ErrorKind::TimedOut` if the connection is not established by then.
+pub async fn connect(addr: SocketAddr, timeout: Duration) -> io::Result<Async<TcpStream>> {
+    let timed_out = async {
+        Timer::after(timeout).await;
         Err(ErrorKind::TimedOut.into())
     };
-    or(reactor::connect(addr), late).await
+    or(reactor::connect(addr), timed_out).await
 }
