--- a/crates/marshal/src/client.rs
+++ b/crates/marshal/src/client.rs
@@ -1,5 +1,5 @@
-//! One client connection: the places of its commands, and the answers that it is given in their order. The core task
-//! answers into it; its own task (`clients`) reads.
+//! One client connection: its pipelined commands and their replies, which are sent in the order of the
+//! commands. The core task supplies the replies; the connection's own task (`clients`) reads.
 
 use crate::clock::Clock;
 use crate::command;
@@ -15,80 +15,83 @@
 use stonescale_budget::purpose::ReclaimAction;
 use stonescale_budget::{Buffer, Charge, Ledger, Purpose, eviction};
 
-/// Commands of one connection in work, and bytes of answers not yet taken: past it, reading waits.
-pub const MOST_SLOTS: usize = 128;
-const MOST_UNSENT: usize = 2 * command::VALUE;
-/// Who has taken nothing of its answers for so long is stuck, where what clients are owed runs short.
-const STUCK: Span = Span::millis(500);
-
-/// What a command is answered with.
-pub enum Answer {
-    /// A node's value, as it came.
+/// Limits on the commands in progress and on the bytes of unsent replies of one connection; at either,
+/// reading pauses.
+pub const MAX_PENDING_COMMANDS: usize = 128;
+const MAX_UNSENT_BYTES: usize = 2 * command::MAX_VALUE_BYTES;
+/// A client that has accepted no reply bytes for this long counts as stalled, and is closed when memory for
+/// client output is short.
+const STALL_TIMEOUT: Span = Span::millis(500);
+
+/// Reply to a command.
+pub enum Reply {
+    /// A node's value, as received.
     Value(Block),
-    /// A short line, counted with its hit.
+    /// A short reply, covered by the memory charge of its hit.
     Line(Vec<u8>),
 }
 
-impl Answer {
+impl Reply {
     fn as_slice(&self) -> &[u8] {
         match self {
-            Answer::Value(block) => block.as_slice(),
-            Answer::Line(line) => line,
+            Reply::Value(block) => block.as_slice(),
+            Reply::Line(line) => line,
         }
     }
 }
 
 enum Slot {
-    /// With the number of its hit once the core task has it.
-    Open(Option<u32>),
-    /// It waits for those before it.
-    Answered(Answer),
+    /// No reply yet; holds the number of the hit once the core task has assigned one.
+    Pending(Option<u32>),
+    /// The reply waits for those before it.
+    Ready(Reply),
 }
 
 pub struct Client {
-    crowd: Rc<Crowd>,
-    /// Until the connection is over: the descriptor must not wait for all that still know the client.
+    registry: Rc<ClientRegistry>,
+    /// `None` once the connection has ended: the descriptor must not stay open while others hold a reference
+    /// to this value.
     stream: RefCell<Option<Rc<Async<TcpStream>>>>,
     slots: RefCell<VecDeque<Slot>>,
-    /// Place of the first slot among all of this connection.
-    first: Cell<u64>,
-    out: RefCell<Buffer>,
-    taken: Time,
-    /// When it last took something, or was to take something.
-    used: Cell<Time>,
-    /// A whole command came on it.
-    pub asked: Cell<bool>,
-    pub gone: Cell<bool>,
-    /// Its descriptor is wanted for others: it is closed if it is idle still when its task gets to it.
-    pub unwanted: Cell<bool>,
-    /// It is to be closed as soon as all is answered.
+    /// Sequence number of the first slot within this connection.
+    first_sequence: Cell<u64>,
+    write_buffer: RefCell<Buffer>,
+    accepted_at: Time,
+    /// When the client last accepted reply bytes, or was offered any.
+    last_activity: Cell<Time>,
+    /// Whether a complete command was received on it.
+    pub has_sent_command: Cell<bool>,
+    pub closed: Cell<bool>,
+    /// Its descriptor is needed for other clients: its task closes it if it is still idle then.
+    pub evict_if_idle: Cell<bool>,
+    /// To be closed as soon as all commands are answered.
     pub closing: Cell<bool>,
-    /// It is to be closed as it stands: it takes nothing, or its connection broke.
-    cut: Cell<bool>,
+    /// To be closed at once: the client does not read, or the connection failed.
+    aborted: Cell<bool>,
     pub signal: Signal,
-    _record: Charge,
+    _charge: Charge,
 }
 
 impl Client {
-    /// A client whose connection was taken just now; its record is charged already.
-    pub fn new(crowd: Rc<Crowd>, stream: Async<TcpStream>, record: Charge) -> Rc<Self> {
-        let out = RefCell::new(Buffer::new(&crowd.ledger, Purpose::ClientOutput));
-        let now = crowd.clock.now();
+    /// Creates the state of a newly accepted connection, whose record is already charged.
+    pub fn new(registry: Rc<ClientRegistry>, stream: Async<TcpStream>, charge: Charge) -> Rc<Self> {
+        let write_buffer = RefCell::new(Buffer::new(&registry.ledger, Purpose::ClientOutput));
+        let now = registry.clock.now();
         Rc::new(Client {
-            crowd,
+            registry,
             stream: RefCell::new(Some(Rc::new(stream))),
             slots: RefCell::default(),
-            first: Cell::new(0),
-            out,
-            taken: now,
-            used: Cell::new(now),
-            asked: Cell::new(false),
-            gone: Cell::new(false),
-            unwanted: Cell::new(false),
+            first_sequence: Cell::new(0),
+            write_buffer,
+            accepted_at: now,
+            last_activity: Cell::new(now),
+            has_sent_command: Cell::new(false),
+            closed: Cell::new(false),
+            evict_if_idle: Cell::new(false),
             closing: Cell::new(false),
-            cut: Cell::new(false),
+            aborted: Cell::new(false),
             signal: Signal::default(),
-            _record: record,
+            _charge: charge,
         })
     }
 
@@ -96,252 +99,261 @@
         self.stream.borrow().clone()
     }
 
-    pub fn used(&self) -> Time {
-        self.used.get()
+    pub fn last_activity(&self) -> Time {
+        self.last_activity.get()
     }
 
-    /// Gives the next command its place.
+    /// Reserves a slot for the next command and returns its sequence number.
     pub fn reserve_sequence(&self) -> u64 {
-        let sequence = self.commands();
-        self.slots.borrow_mut().push_back(Slot::Open(None));
+        let sequence = self.commands_received();
+        self.slots.borrow_mut().push_back(Slot::Pending(None));
         sequence
     }
 
-    /// Notes which hit a place is.
-    pub fn bind(&self, sequence: u64, hit: u32) {
-        let at = sequence.wrapping_sub(self.first.get()) as usize;
-        if let Some(Slot::Open(bound)) = self.slots.borrow_mut().get_mut(at) {
-            *bound = Some(hit);
+    /// Records the number of the hit that occupies a slot.
+    pub fn bind_hit(&self, sequence: u64, hit: u32) {
+        let index = sequence.wrapping_sub(self.first_sequence.get()) as usize;
+        if let Some(Slot::Pending(slot_hit)) = self.slots.borrow_mut().get_mut(index) {
+            *slot_hit = Some(hit);
         }
     }
 
-    /// Gives the answer to the command at `place`; it goes out once those before it have.
-    pub fn answer(&self, sequence: u64, answer: Answer) {
-        if self.gone.get() || self.cut.get() {
+    /// Sets the reply to the command `sequence`; it is sent once those before it have been.
+    pub fn reply(&self, sequence: u64, reply: Reply) {
+        if self.closed.get() || self.aborted.get() {
             return;
         }
-        let full = self.slots.borrow().len() >= MOST_SLOTS;
-        let at = sequence.wrapping_sub(self.first.get()) as usize;
-        if !matches!(self.slots.borrow().get(at), Some(Slot::Open(_))) {
+        let was_full = self.slots.borrow().len() >= MAX_PENDING_COMMANDS;
+        let index = sequence.wrapping_sub(self.first_sequence.get()) as usize;
+        if !matches!(self.slots.borrow().get(index), Some(Slot::Pending(_))) {
             return;
         }
-        let answer = if at > 0 { self.owe(answer) } else { answer };
-        if let Some(slot) = self.slots.borrow_mut().get_mut(at) {
-            *slot = Slot::Answered(answer);
+        let reply = if index > 0 { self.charge_waiting_reply(reply) } else { reply };
+        if let Some(slot) = self.slots.borrow_mut().get_mut(index) {
+            *slot = Slot::Ready(reply);
         }
-        while let Some(answer) = self.next_answer() {
-            self.put(answer);
+        while let Some(reply) = self.pop_ready_reply() {
+            self.write_reply(reply);
         }
-        // The connection's own task is woken only where it has something to do: each hit comes by here.
-        if self.cut.get() || !self.out.borrow().is_empty() || full || self.closing.get() {
+        // Every hit passes here, so the connection's own task is woken only if it has something to do.
+        if self.aborted.get() || !self.write_buffer.borrow().is_empty() || was_full || self.closing.get() {
             self.signal.raise();
         }
     }
 
-    fn next_answer(&self) -> Option<Answer> {
+    fn pop_ready_reply(&self) -> Option<Reply> {
         let mut slots = self.slots.borrow_mut();
-        let Some(Slot::Answered(answer)) = slots.pop_front_if(|s| matches!(s, Slot::Answered(_))) else {
+        let Some(Slot::Ready(reply)) = slots.pop_front_if(|s| matches!(s, Slot::Ready(_))) else {
             return None;
         };
-        self.first.set(self.first.get() + 1);
-        Some(answer)
+        self.first_sequence.set(self.first_sequence.get() + 1);
+        Some(reply)
     }
 
-    /// Holds an answer that waits for those before it. Where there is no room even when all that are stuck have gone,
-    /// the hit is errored: that promises nothing.
-    fn owe(&self, answer: Answer) -> Answer {
-        let Answer::Value(mut block) = answer else { return answer };
+    /// Charges a reply that waits for those before it to client output. If there is no room even after
+    /// stalled clients were evicted, the hit is errored, which makes no promise about its effect.
+    fn charge_waiting_reply(&self, reply: Reply) -> Reply {
+        let Reply::Value(mut block) = reply else { return reply };
         if block.transfer(Purpose::ClientOutput).is_ok() {
-            return Answer::Value(block);
+            return Reply::Value(block);
         }
-        self.crowd.relieve(block.charged_bytes());
+        self.registry.evict_stalled(block.charged_bytes());
         match block.transfer(Purpose::ClientOutput) {
-            Ok(()) => Answer::Value(block),
-            Err(_) => Answer::Line(command::errored()),
+            Ok(()) => Reply::Value(block),
+            Err(_) => Reply::Line(command::errored_reply()),
         }
     }
 
-    /// Writes an answer; what the connection does not take now is owed.
-    fn put(&self, answer: Answer) {
+    /// Writes a reply; the bytes that the socket does not accept now are buffered.
+    fn write_reply(&self, reply: Reply) {
         let Some(stream) = self.stream() else { return };
-        let bytes = answer.as_slice();
-        let mut out = self.out.borrow_mut();
-        let wrote = if out.is_empty() { try_write(&stream, bytes) } else { Ok(0) };
-        let Ok(wrote) = wrote else { return self.cut() };
-        self.used.set(self.crowd.clock.now());
-        let rest = &bytes[wrote..];
-        if rest.is_empty() || out.extend(rest).is_ok() {
+        let bytes = reply.as_slice();
+        let mut write_buffer = self.write_buffer.borrow_mut();
+        let written = if write_buffer.is_empty() { try_write(&stream, bytes) } else { Ok(0) };
+        let Ok(written) = written else { return self.abort() };
+        self.last_activity.set(self.registry.clock.now());
+        let remaining = &bytes[written..];
+        if remaining.is_empty() || write_buffer.extend(remaining).is_ok() {
             return;
         }
-        drop(out);
-        self.crowd.relieve(rest.len());
-        if self.cut.get() || self.out.borrow_mut().extend(rest).is_err() {
-            // A part of an answer may be out: the client can tell that it is not whole.
-            self.cut();
+        drop(write_buffer);
+        self.registry.evict_stalled(remaining.len());
+        if self.aborted.get() || self.write_buffer.borrow_mut().extend(remaining).is_err() {
+            // Part of a reply may have been sent: closing lets the client see that it is incomplete.
+            self.abort();
         }
     }
 
-    /// Writes what can be written now.
+    /// Writes as much of the buffer as the socket accepts now.
     pub fn flush(&self) -> std::io::Result<()> {
         let Some(stream) = self.stream() else { return Ok(()) };
-        let (mut out, mut wrote) = (self.out.borrow_mut(), 0);
-        // Looking whether there is something to write is no use of the connection.
-        if !out.is_empty() {
-            write_available(&stream, &mut out, &mut wrote)?;
+        let (mut write_buffer, mut written) = (self.write_buffer.borrow_mut(), 0);
+        // Flushing an empty buffer is not activity.
+        if !write_buffer.is_empty() {
+            write_available(&stream, &mut write_buffer, &mut written)?;
         }
-        if wrote > 0 {
-            self.used.set(self.crowd.clock.now());
+        if written > 0 {
+            self.last_activity.set(self.registry.clock.now());
         }
         Ok(())
     }
 
-    /// Ends the connection as it stands, and gives back at once what is owed on it.
-    fn cut(&self) {
-        self.cut.set(true);
-        if let Ok(mut out) = self.out.try_borrow_mut() {
-            let owed = out.len();
-            out.consume(owed, 0);
+    /// Closes the connection at once, and releases the memory of its unsent replies.
+    fn abort(&self) {
+        self.aborted.set(true);
+        if let Ok(mut write_buffer) = self.write_buffer.try_borrow_mut() {
+            let unsent = write_buffer.len();
+            write_buffer.consume(unsent, 0);
         }
         if let Ok(mut slots) = self.slots.try_borrow_mut() {
-            for slot in slots.iter_mut().filter(|s| matches!(s, Slot::Answered(_))) {
-                *slot = Slot::Answered(Answer::Line(Vec::new()));
+            for slot in slots.iter_mut().filter(|s| matches!(s, Slot::Ready(_))) {
+                *slot = Slot::Ready(Reply::Line(Vec::new()));
             }
         }
         self.signal.raise();
     }
 
-    pub fn is_cut(&self) -> bool {
-        self.cut.get()
+    pub fn is_aborted(&self) -> bool {
+        self.aborted.get()
     }
 
-    /// Commands that have come on it.
-    pub fn commands(&self) -> u64 {
-        self.first.get() + self.slots.borrow().len() as u64
+    /// Number of commands received on the connection.
+    pub fn commands_received(&self) -> u64 {
+        self.first_sequence.get() + self.slots.borrow().len() as u64
     }
 
-    /// More may be asked: neither are too many commands in work, nor is too much owed. Where what clients are owed
-    /// runs short, whoever owes is asked no more.
-    pub fn may_ask(&self) -> bool {
-        let owed = self.out.borrow().len();
-        let calm =
-            owed == 0 || self.crowd.ledger.reclaim_action(Purpose::ClientOutput) == ReclaimAction::Nothing;
-        self.slots.borrow().len() < MOST_SLOTS && owed < MOST_UNSENT && calm
+    /// Whether further commands are accepted: neither the commands in progress nor the unsent bytes are at
+    /// their limit. When memory for client output is short, only connections without unsent bytes accept any.
+    pub fn accepts_commands(&self) -> bool {
+        let unsent = self.write_buffer.borrow().len();
+        let not_short = unsent == 0
+            || self.registry.ledger.reclaim_action(Purpose::ClientOutput) == ReclaimAction::Nothing;
+        self.slots.borrow().len() < MAX_PENDING_COMMANDS && unsent < MAX_UNSENT_BYTES && not_short
     }
 
-    /// Something is owed that the connection has not taken.
-    pub fn owes(&self) -> bool {
-        !self.out.borrow().is_empty()
+    /// Whether reply bytes are buffered that the socket has not accepted.
+    pub fn has_unsent_bytes(&self) -> bool {
+        !self.write_buffer.borrow().is_empty()
     }
 
-    /// All commands are answered and all answers written.
-    pub fn done(&self) -> bool {
-        self.slots.borrow().is_empty() && !self.owes()
+    /// Whether all commands are answered and all replies written.
+    pub fn is_drained(&self) -> bool {
+        self.slots.borrow().is_empty() && !self.has_unsent_bytes()
     }
 
-    /// Closing now would lose nothing: nothing is in work, and nothing unread has come.
-    pub fn idle(&self) -> bool {
-        self.done() && self.stream().is_some_and(|stream| is_open_without_input(&stream))
+    /// Whether closing now loses nothing: no command is in progress and no unread input is pending.
+    pub fn is_idle(&self) -> bool {
+        self.is_drained() && self.stream().is_some_and(|stream| is_open_without_input(&stream))
     }
 
-    /// The connection is over; the hits that are not answered yet.
-    pub fn leaves(&self) -> Vec<u32> {
-        self.gone.set(true);
+    /// Marks the connection as ended and returns its unanswered hits.
+    pub fn close(&self) -> Vec<u32> {
+        self.closed.set(true);
         self.stream.take();
         let slots = std::mem::take(&mut *self.slots.borrow_mut());
-        let unanswered = |slot| if let Slot::Open(hit) = slot { hit } else { None };
+        let unanswered = |slot| if let Slot::Pending(hit) = slot { hit } else { None };
         slots.into_iter().filter_map(unanswered).collect()
     }
 
-    fn seen(&self) -> eviction::ClientState {
-        let answered = |s: &Slot| if let Slot::Answered(answer) = s { answer.as_slice().len() } else { 0 };
-        let waiting = self.slots.try_borrow().map(|slots| slots.iter().map(answered).sum::<usize>());
+    fn eviction_state(&self) -> eviction::ClientState {
+        let ready_bytes = |s: &Slot| if let Slot::Ready(reply) = s { reply.as_slice().len() } else { 0 };
+        let waiting_bytes = self.slots.try_borrow().map(|slots| slots.iter().map(ready_bytes).sum::<usize>());
         eviction::ClientState {
-            unsent_bytes: self.out.try_borrow().map_or(0, |out| out.len()) + waiting.unwrap_or(0),
-            last_activity: self.used.get(),
-            accepted_at: self.taken,
-            commands: self.slots.try_borrow().map_or(0, |slots| self.first.get() + slots.len() as u64),
+            unsent_bytes: self.write_buffer.try_borrow().map_or(0, |write_buffer| write_buffer.len())
+                + waiting_bytes.unwrap_or(0),
+            last_activity: self.last_activity.get(),
+            accepted_at: self.accepted_at,
+            commands: self
+                .slots
+                .try_borrow()
+                .map_or(0, |slots| self.first_sequence.get() + slots.len() as u64),
             has_pending_hits: self.slots.try_borrow().map_or(true, |slots| !slots.is_empty()),
-            closing: self.gone.get() || self.cut.get() || self.closing.get(),
+            closing: self.closed.get() || self.aborted.get() || self.closing.get(),
         }
     }
 }
 
-/// All client connections, as far as they make room for each other.
-pub struct Crowd {
+/// All client connections, for evicting some in favour of others.
+pub struct ClientRegistry {
     pub ledger: Ledger,
     pub clock: Clock,
-    open: RefCell<Vec<Weak<Client>>>,
+    clients: RefCell<Vec<Weak<Client>>>,
 }
 
-impl Crowd {
+impl ClientRegistry {
     pub fn new(ledger: Ledger, clock: Clock) -> Rc<Self> {
-        Rc::new(Crowd { ledger, clock, open: RefCell::default() })
+        Rc::new(ClientRegistry { ledger, clock, clients: RefCell::default() })
     }
 
-    /// A connection that was taken just now, if there is room for its record.
-    pub fn join(self: &Rc<Self>, stream: Async<TcpStream>) -> Option<Rc<Client>> {
-        let record = self.ledger.charge(Purpose::Clients, CLIENT_CONNECTION_BYTES).ok()?;
-        let client = Client::new(self.clone(), stream, record);
-        self.open.borrow_mut().retain(|c| c.strong_count() > 0);
-        self.open.borrow_mut().push(Rc::downgrade(&client));
+    /// Registers a newly accepted connection; `None` without room for its record.
+    pub fn register(self: &Rc<Self>, stream: Async<TcpStream>) -> Option<Rc<Client>> {
+        let charge = self.ledger.charge(Purpose::Clients, CLIENT_CONNECTION_BYTES).ok()?;
+        let client = Client::new(self.clone(), stream, charge);
+        self.clients.borrow_mut().retain(|c| c.strong_count() > 0);
+        self.clients.borrow_mut().push(Rc::downgrade(&client));
         Some(client)
     }
 
-    pub fn all(&self) -> Vec<Rc<Client>> {
-        self.open.borrow().iter().filter_map(Weak::upgrade).filter(|c| !c.gone.get()).collect()
+    pub fn connected(&self) -> Vec<Rc<Client>> {
+        self.clients.borrow().iter().filter_map(Weak::upgrade).filter(|c| !c.closed.get()).collect()
     }
 
-    /// Makes room for so many bytes owed: whoever has taken nothing for long is closed.
-    fn relieve(&self, bytes: usize) {
-        let all = self.all();
-        let seen: Vec<_> = all.iter().map(|c| c.seen()).collect();
-        for at in eviction::select_stalled(&seen, self.clock.now(), STUCK, bytes) {
-            self.ledger.record_reclaimed(Purpose::ClientOutput, seen[at].unsent_bytes);
-            all[at].cut();
+    /// Closes stalled clients to free this many bytes of client output.
+    fn evict_stalled(&self, bytes: usize) {
+        let clients = self.connected();
+        let states: Vec<_> = clients.iter().map(|c| c.eviction_state()).collect();
+        for index in eviction::select_stalled(&states, self.clock.now(), STALL_TIMEOUT, bytes) {
+            self.ledger.record_reclaimed(Purpose::ClientOutput, states[index].unsent_bytes);
+            clients[index].abort();
         }
     }
 
-    /// Closes idle connections to make room for others, `most` at most; returns how many were chosen.
-    pub fn close_idle(&self, spared: (Span, Span), most: usize) -> usize {
-        let all = self.all();
-        let seen: Vec<_> = all.iter().map(|c| c.seen()).collect();
-        let chosen = eviction::select_idle(&seen, self.clock.now(), spared, most);
-        let still: Vec<_> = chosen.iter().map(|at| &all[*at]).filter(|c| c.idle()).collect();
-        for client in &still {
-            client.unwanted.set(true);
+    /// Marks up to `max_count` idle connections for closing to make room for others; the idle
+    /// timeouts are for clients that sent several commands and for all others. Returns the number marked.
+    pub fn close_idle(&self, idle_timeouts: (Span, Span), max_count: usize) -> usize {
+        let clients = self.connected();
+        let states: Vec<_> = clients.iter().map(|c| c.eviction_state()).collect();
+        let selected = eviction::select_idle(&states, self.clock.now(), idle_timeouts, max_count);
+        let still_idle: Vec<_> =
+            selected.iter().map(|index| &clients[*index]).filter(|c| c.is_idle()).collect();
+        for client in &still_idle {
+            client.evict_if_idle.set(true);
             client.signal.raise();
         }
-        still.len()
+        still_idle.len()
     }
 
-    /// Gives back what the table says at the levels of the moment; `spared` as for `close_idle`, `most` at one go.
-    pub fn ease(&self, spared: (Span, Span), most: usize) {
+    /// Reclaims memory as the current levels of its purposes require; `idle_timeouts` as for `close_idle`,
+    /// `max_count` for one call.
+    pub fn reclaim(&self, idle_timeouts: (Span, Span), max_count: usize) {
         if self.ledger.reclaim_action(Purpose::Clients) == ReclaimAction::CloseIdle {
-            self.ledger
-                .record_reclaimed(Purpose::Clients, self.close_idle(spared, most) * CLIENT_CONNECTION_BYTES);
+            self.ledger.record_reclaimed(
+                Purpose::Clients,
+                self.close_idle(idle_timeouts, max_count) * CLIENT_CONNECTION_BYTES,
+            );
         }
         if self.ledger.reclaim_action(Purpose::ClientOutput) == ReclaimAction::CloseStalled {
-            self.relieve(self.ledger.excess(Purpose::ClientOutput));
+            self.evict_stalled(self.ledger.excess(Purpose::ClientOutput));
         }
     }
 
-    /// Has connections closed once they are answered, those that were here longest, for others to have their turn.
-    pub fn rotate(&self, tenure: Span, most: usize) {
-        let all = self.all();
-        let seen: Vec<_> = all.iter().map(|c| c.seen()).collect();
-        for at in eviction::select_rotated(&seen, self.clock.now(), tenure, most) {
+    /// Closes the longest-connected clients once they are answered, so that waiting clients get a connection.
+    pub fn rotate(&self, min_tenure: Span, max_count: usize) {
+        let clients = self.connected();
+        let states: Vec<_> = clients.iter().map(|c| c.eviction_state()).collect();
+        for index in eviction::select_rotated(&states, self.clock.now(), min_tenure, max_count) {
             self.ledger.record_reclaimed(Purpose::Clients, CLIENT_CONNECTION_BYTES);
-            all[at].closing.set(true);
-            all[at].signal.raise();
+            clients[index].closing.set(true);
+            clients[index].signal.raise();
         }
     }
 }
 
-/// A short line as an answer; a long one only where there is room for it.
-pub fn line(ledger: &Ledger, text: Vec<u8>) -> Answer {
+/// Wraps a short text as a reply; a long one is charged to client output, and errored if there is no room.
+pub fn text_reply(ledger: &Ledger, text: Vec<u8>) -> Reply {
     if text.len() <= MIN_CAPACITY_BYTES {
-        return Answer::Line(text);
+        return Reply::Line(text);
     }
     Block::copy(ledger, Purpose::ClientOutput, &text)
-        .map_or_else(|_| Answer::Line(command::errored()), Answer::Value)
+        .map_or_else(|_| Reply::Line(command::errored_reply()), Reply::Value)
 }
--- a/crates/marshal/src/clients.rs
+++ b/crates/marshal/src/clients.rs
@@ -1,7 +1,7 @@
-//! Clients: taking their connections, and reading their commands.
+//! Client side of the marshal: accepting connections and reading commands.
 
-use crate::client::{Answer, Client, Crowd, line};
-use crate::command::{self, BOUNDS, Command, Request, VALUE, understand};
+use crate::client::{Client, ClientRegistry, Reply, text_reply};
+use crate::command::{self, COMMAND_LIMITS, Command, MAX_VALUE_BYTES, Request, parse_command};
 use crate::inbox::{HitEvent, Inbox, IncomingHit};
 use crate::reactor::{Async, Timer};
 use crate::turn::{Wakeup, read_available, wait_for_wakeup};
@@ -21,92 +21,109 @@
 use stonescale_site::Names;
 use tracing::{debug, warn};
 
-/// How soon accepting looks again after it was short of room or of descriptors.
-const AGAIN: Duration = Duration::from_millis(10);
-/// How often it is looked whether a level asks for something back: sooner than a client counts as stuck.
-const EASE: Duration = Duration::from_millis(250);
-/// Connections closed for new ones at one go.
-const AT_ONCE: usize = 16;
-/// Idle connections are closed after that: some clients ask once and keep their connection for good.
-const SPARED: Span = Span::millis(2_000);
-/// Of that, where there is no room for others: a client that is late itself still means to use its connection, but
-/// were all spared for long, those who wait to be taken would give up first, and then be taken for nothing.
-const PRESSED: f64 = 0.1;
-/// For so long a connection may be used at least, where all are in use and others wait to be taken.
-const TENURE: Span = Span::millis(1_000);
-/// How long a client may take to its first whole command, and for each half-read one: 3 s are its due.
-const HALF: Span = Span::millis(2_500);
-/// How long a connection that lost its framing may take to read why.
-const LINGER: Duration = Duration::from_secs(1);
+/// Interval of retries to accept after memory or descriptors ran out.
+const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(10);
+/// Interval of checks whether memory must be reclaimed; shorter than the time after which a client counts as
+/// stalled.
+const RECLAIM_INTERVAL: Duration = Duration::from_millis(250);
+/// Bound on the connections closed at once to make room for new ones.
+const MAX_EVICTIONS: usize = 16;
+/// Idle connections are closed after this time: some clients ask once and keep their connection for good.
+const IDLE_TIMEOUT: Span = Span::millis(2_000);
+/// Factor on that time for clients that sent at most one command, when other connections need the room. A
+/// slow client may still use its connection; but if idle connections were kept for long, the clients waiting
+/// to be accepted would give up first, and accepting them would then be in vain.
+const SINGLE_COMMAND_IDLE_FACTOR: f64 = 0.1;
+/// A connection is kept at least this long when all are in use and others wait to be accepted.
+const MIN_TENURE: Span = Span::millis(1_000);
+/// Time limit for a client's first complete command, and for each partly received one. The protocol allows
+/// clients 3 s.
+const COMMAND_TIMEOUT: Span = Span::millis(2_500);
+/// How long a connection with a framing error stays open for the client to read the error.
+const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What all client connections share.
-pub struct Clients {
+/// State shared by all client connections.
+pub struct ClientServer {
     inbox: Rc<Inbox>,
     names: Names,
-    crowd: Rc<Crowd>,
+    registry: Rc<ClientRegistry>,
     ledger: Ledger,
-    most: usize,
-    /// Connections that asked, past which idle ones make room for others.
-    crowded: usize,
+    max_connections: usize,
+    /// Number of connections that have sent a command above which idle ones are closed.
+    idle_eviction_threshold: usize,
     count: Cell<usize>,
     scratch: RefCell<Vec<u8>>,
 }
 
-/// What is being read on one connection.
-struct Reading {
-    held: Buffer,
+/// Read state of one connection.
+struct ReadState {
+    received: Buffer,
     scanner: Scanner,
-    /// A command without room: what is left of it is read past, and then it is turned away at its place.
-    passed: Option<Passed>,
-    /// Why its framing is lost, if it is.
-    lost: Option<&'static str>,
-    begun: Instant,
+    /// A command that found no room: its remaining bytes are discarded, then it is bounced in its turn.
+    skipped: Option<SkippedCommand>,
+    /// The framing error after which nothing more is read.
+    framing_error: Option<&'static str>,
+    command_started_at: Instant,
 }
 
-struct Passed {
-    left: usize,
+struct SkippedCommand {
+    remaining_bytes: usize,
     sequence: u64,
-    answer: Vec<u8>,
+    reply: Vec<u8>,
 }
 
-impl Clients {
+impl ClientServer {
     pub fn new(
-        inbox: Rc<Inbox>, crowd: Rc<Crowd>, names: Names, (most, crowded): (usize, usize),
+        inbox: Rc<Inbox>, registry: Rc<ClientRegistry>, names: Names,
+        (max_connections, idle_eviction_threshold): (usize, usize),
     ) -> Rc<Self> {
-        let (ledger, scratch) = (crowd.ledger.clone(), RefCell::new(vec![0; VALUE]));
-        Rc::new(Clients { inbox, names, crowd, ledger, most, crowded, count: Cell::new(0), scratch })
+        let (ledger, scratch) = (registry.ledger.clone(), RefCell::new(vec![0; MAX_VALUE_BYTES]));
+        Rc::new(ClientServer {
+            inbox,
+            names,
+            registry,
+            ledger,
+            max_connections,
+            idle_eviction_threshold,
+            count: Cell::new(0),
+            scratch,
+        })
     }
 
     pub fn count(&self) -> usize {
         self.count.get()
     }
 
-    /// From now on connections are closed when they are idle.
-    pub fn leave(&self) {
-        for client in self.crowd.all() {
+    /// Has every connection closed as soon as it is idle.
+    pub fn close_when_idle(&self) {
+        for client in self.registry.connected() {
             client.closing.set(true);
             client.signal.raise();
         }
     }
 
-    /// Takes connections for as long as the future is polled.
-    pub async fn accept(self: Rc<Self>, listener: Rc<Async<TcpListener>>, tasks: Rc<LocalExecutor<'static>>) {
-        let (mut short, mut rotated) = (false, Instant::now());
+    /// Accepts connections for as long as the future is polled.
+    pub async fn accept(
+        self: Rc<Self>, listener: Rc<Async<TcpListener>>, executor: Rc<LocalExecutor<'static>>,
+    ) {
+        let (mut accept_failing, mut last_rotation) = (false, Instant::now());
         loop {
-            if self.count.get() >= self.most
+            if self.count.get() >= self.max_connections
                 || self.ledger.available(Purpose::Clients) < CLIENT_CONNECTION_BYTES
             {
-                // Nobody idle: those that fill the connections must not keep all others out.
-                if self.close_idle(AT_ONCE) == 0 && rotated.elapsed() >= AGAIN * AT_ONCE as u32 {
-                    rotated = Instant::now();
-                    self.crowd.rotate(TENURE, AT_ONCE);
+                // No connection is idle: long-lived connections must not lock out all other clients.
+                if self.close_idle(MAX_EVICTIONS) == 0
+                    && last_rotation.elapsed() >= ACCEPT_RETRY_INTERVAL * MAX_EVICTIONS as u32
+                {
+                    last_rotation = Instant::now();
+                    self.registry.rotate(MIN_TENURE, MAX_EVICTIONS);
                 }
-                Timer::after(AGAIN).await;
+                Timer::after(ACCEPT_RETRY_INTERVAL).await;
                 continue;
             }
-            let taken = listener.get_ref().accept();
-            let taken = taken.and_then(|(stream, _)| stream.set_nonblocking(true).map(|()| stream));
-            let stream = match taken.and_then(Async::new) {
+            let accepted = listener.get_ref().accept();
+            let accepted = accepted.and_then(|(stream, _)| stream.set_nonblocking(true).map(|()| stream));
+            let stream = match accepted.and_then(Async::new) {
                 Ok(stream) => stream,
                 Err(e) if e.kind() == ErrorKind::WouldBlock => {
                     listener.drained();
@@ -114,47 +131,48 @@
                     continue;
                 }
                 Err(e) => {
-                    if !std::mem::replace(&mut short, true) {
-                        warn!("taking a connection failed, trying on: {e}");
+                    if !std::mem::replace(&mut accept_failing, true) {
+                        warn!("accepting a connection failed, retrying: {e}");
                     }
-                    self.close_idle(AT_ONCE);
-                    Timer::after(AGAIN).await;
+                    self.close_idle(MAX_EVICTIONS);
+                    Timer::after(ACCEPT_RETRY_INTERVAL).await;
                     continue;
                 }
             };
-            short = false;
-            let Some(client) = self.crowd.join(stream) else { continue };
+            accept_failing = false;
+            let Some(client) = self.registry.register(stream) else { continue };
             self.count.set(self.count.get() + 1);
-            let asked = self.crowd.all().iter().filter(|c| c.asked.get()).count();
-            // Clients hold only so many: with all of those left idle, the next hit finds none.
-            let excess = asked.saturating_sub(self.crowded).min(AT_ONCE);
+            let active = self.registry.connected().iter().filter(|c| c.has_sent_command.get()).count();
+            // Clients use a limited number of connections for hits: if all of them stayed idle, the next hit
+            // would find none.
+            let excess = active.saturating_sub(self.idle_eviction_threshold).min(MAX_EVICTIONS);
             if excess > 0 {
                 self.close_idle(excess);
             }
-            tasks.spawn(self.clone().serve(client)).detach();
+            executor.spawn(self.clone().serve(client)).detach();
         }
     }
 
-    fn close_idle(&self, most: usize) -> usize {
-        self.crowd.close_idle((SPARED, SPARED * PRESSED), most)
+    fn close_idle(&self, max_count: usize) -> usize {
+        self.registry.close_idle((IDLE_TIMEOUT, IDLE_TIMEOUT * SINGLE_COMMAND_IDLE_FACTOR), max_count)
     }
 
-    /// Makes room as the table of purposes says, for as long as the future is polled.
-    pub async fn ease(self: Rc<Self>) {
+    /// Reclaims memory as its current levels require, for as long as the future is polled.
+    pub async fn reclaim_periodically(self: Rc<Self>) {
         loop {
-            Timer::after(EASE).await;
-            self.crowd.ease((SPARED, SPARED * PRESSED), AT_ONCE);
+            Timer::after(RECLAIM_INTERVAL).await;
+            self.registry.reclaim((IDLE_TIMEOUT, IDLE_TIMEOUT * SINGLE_COMMAND_IDLE_FACTOR), MAX_EVICTIONS);
         }
     }
 
     async fn serve(self: Rc<Self>, client: Rc<Client>) {
         let Some(stream) = client.stream() else { return };
-        if let Err(why) = self.read_commands(&client, &stream).await {
-            debug!("connection of a client closed: {why}");
-            // Unread bytes would turn the close into a reset, and the client might never read why.
+        if let Err(error) = self.read_commands(&client, &stream).await {
+            debug!("client connection closed: {error}");
+            // Closing with unread input would send a reset, and the client might never read the error.
             let _ = stream.get_ref().shutdown(Shutdown::Write);
-            let until = Instant::now() + LINGER;
-            while wait_for_wakeup(&stream, true, false, &client.signal, Some(until)).await
+            let linger_until = Instant::now() + LINGER_TIMEOUT;
+            while wait_for_wakeup(&stream, true, false, &client.signal, Some(linger_until)).await
                 != Wakeup::DeadlineReached
             {
                 match read_available(&stream, &mut self.scratch.borrow_mut()) {
@@ -166,7 +184,7 @@
         }
         #[cfg(feature = "mutants")]
         crate::mutants::connection(stream.clone());
-        let unanswered = client.leaves();
+        let unanswered = client.close();
         drop(stream);
         if !unanswered.is_empty() {
             self.inbox.push_hit_event(HitEvent::ClientLeft(unanswered));
@@ -174,161 +192,178 @@
         self.count.set(self.count.get() - 1);
     }
 
-    /// Reads until the connection ends; an error where its framing is lost and all else is answered.
+    /// Reads until the connection ends; fails on a framing error, once all commands are answered.
     async fn read_commands(
         &self, client: &Rc<Client>, stream: &Async<TcpStream>,
     ) -> Result<(), &'static str> {
-        let clock = self.crowd.clock;
-        let half = crate::clock::duration(HALF);
-        let mut reading = Reading {
-            held: Buffer::with_prepaid(&self.ledger, Purpose::PartialCommands),
-            scanner: Scanner::new(BOUNDS),
-            passed: None,
-            lost: None,
-            begun: Instant::now(),
+        let clock = self.registry.clock;
+        let command_timeout = crate::clock::duration(COMMAND_TIMEOUT);
+        let mut state = ReadState {
+            received: Buffer::with_prepaid(&self.ledger, Purpose::PartialCommands),
+            scanner: Scanner::new(COMMAND_LIMITS),
+            skipped: None,
+            framing_error: None,
+            command_started_at: Instant::now(),
         };
         loop {
-            let under_way = !reading.held.is_empty() || reading.passed.is_some();
-            if reading.lost.is_none() && under_way {
-                let before = client.commands();
-                reading.lost = self.take_whole(client, &mut reading).err();
-                if client.commands() > before {
-                    client.asked.set(true);
-                    reading.begun = Instant::now();
-                } else if client.may_ask() && reading.begun.elapsed() >= half {
-                    reading.lost = reading.lost.or(Some("command not ended in time"));
+            let mid_command = !state.received.is_empty() || state.skipped.is_some();
+            if state.framing_error.is_none() && mid_command {
+                let before = client.commands_received();
+                state.framing_error = self.dispatch_commands(client, &mut state).err();
+                if client.commands_received() > before {
+                    client.has_sent_command.set(true);
+                    state.command_started_at = Instant::now();
+                } else if client.accepts_commands() && state.command_started_at.elapsed() >= command_timeout {
+                    state.framing_error = state.framing_error.or(Some("command not ended in time"));
                 }
-                if let Some(why) = reading.lost {
-                    self.give_up_reading(client, &mut reading, why);
+                if let Some(error) = state.framing_error {
+                    self.reject_stream(client, &mut state, error);
                 }
             }
-            if client.is_cut() || client.flush().is_err() {
+            if client.is_aborted() || client.flush().is_err() {
                 return Ok(());
             }
-            if let (Some(why), true) = (reading.lost, client.done()) {
-                return Err(why);
+            if let (Some(error), true) = (state.framing_error, client.is_drained()) {
+                return Err(error);
             }
-            let under_way = !reading.held.is_empty() || reading.passed.is_some();
-            let idle_until =
-                if client.asked.get() { clock.instant(client.used() + SPARED) } else { reading.begun + half };
-            let unwanted = client.unwanted.take() || client.closing.get() || idle_until <= Instant::now();
-            if unwanted && !under_way && client.idle() {
+            let mid_command = !state.received.is_empty() || state.skipped.is_some();
+            let idle_until = if client.has_sent_command.get() {
+                clock.instant(client.last_activity() + IDLE_TIMEOUT)
+            } else {
+                state.command_started_at + command_timeout
+            };
+            let should_close =
+                client.evict_if_idle.take() || client.closing.get() || idle_until <= Instant::now();
+            if should_close && !mid_command && client.is_idle() {
                 return Ok(());
             }
-            let mut read = reading.lost.is_none() && client.may_ask();
-            if let Err(why) = if read { self.makes_room(client, &mut reading) } else { Ok(()) } {
-                (reading.lost, read) = (Some(why), false);
-                self.give_up_reading(client, &mut reading, why);
+            let mut read = state.framing_error.is_none() && client.accepts_commands();
+            if let Err(error) = if read { self.reserve_next(client, &mut state) } else { Ok(()) } {
+                (state.framing_error, read) = (Some(error), false);
+                self.reject_stream(client, &mut state, error);
             }
-            let due = match (reading.lost, read) {
+            let deadline = match (state.framing_error, read) {
                 (Some(_), _) => None,
-                (None, true) if under_way => Some(reading.begun + half),
-                (None, true) if client.done() => Some(idle_until),
-                // The answer does not wake this task: it looks again for when the connection fell idle, or what
-                // clients are owed is less.
-                (None, _) => Some(Instant::now() + crate::clock::duration(SPARED * 0.25)),
+                (None, true) if mid_command => Some(state.command_started_at + command_timeout),
+                (None, true) if client.is_drained() => Some(idle_until),
+                // A reply does not wake this task: check again later whether the connection has become idle
+                // or memory for client output is available.
+                (None, _) => Some(Instant::now() + crate::clock::duration(IDLE_TIMEOUT * 0.25)),
             };
-            if wait_for_wakeup(stream, read, client.owes(), &client.signal, due).await == Wakeup::Readable {
-                let most = reading.passed.as_ref().map_or(reading.held.spare_capacity(), |p| p.left);
-                match read_available(stream, &mut self.scratch.borrow_mut()[..most.min(VALUE)]) {
+            if wait_for_wakeup(stream, read, client.has_unsent_bytes(), &client.signal, deadline).await
+                == Wakeup::Readable
+            {
+                let max_read =
+                    state.skipped.as_ref().map_or(state.received.spare_capacity(), |s| s.remaining_bytes);
+                match read_available(stream, &mut self.scratch.borrow_mut()[..max_read.min(MAX_VALUE_BYTES)])
+                {
                     Ok(Some([])) | Err(_) => return Ok(()),
                     Ok(Some(bytes)) => {
-                        if !under_way && client.asked.get() {
-                            reading.begun = Instant::now();
+                        if !mid_command && client.has_sent_command.get() {
+                            state.command_started_at = Instant::now();
                         }
-                        reading.takes(bytes);
+                        state.take_input(bytes);
                     }
                     Ok(None) => {}
                 }
-                // Who sends without end must not keep the others from their turn.
+                // Yields so that a client that sends without pause does not starve the others.
                 yield_now().await;
             }
         }
     }
 
-    /// Sees to it that what is to be read next has room. A command that has none is read past and turned away: it
-    /// never ran. An error says why the connection can't be read on.
-    fn makes_room(&self, client: &Client, reading: &mut Reading) -> Result<(), &'static str> {
-        let Reading { held, scanner, passed, .. } = reading;
-        let wants = scanner.required_length();
-        let more = match wants {
-            None if held.spare_capacity() > 0 => 0,
+    /// Reserves memory for the bytes to be read next. A command without room is discarded and bounced, as it
+    /// never ran. An error says why the connection can no longer be read.
+    fn reserve_next(&self, client: &Client, state: &mut ReadState) -> Result<(), &'static str> {
+        let ReadState { received, scanner, skipped, .. } = state;
+        let required = scanner.required_length();
+        let needed = match required {
+            None if received.spare_capacity() > 0 => 0,
             None => MIN_CAPACITY_BYTES,
-            Some((end, _)) => end.saturating_sub(held.len()),
+            Some((end, _)) => end.saturating_sub(received.len()),
         };
-        if passed.is_some() || held.reserve(more).is_ok() {
+        if skipped.is_some() || received.reserve(needed).is_ok() {
             return Ok(());
         }
-        let Some((end, true)) = wants else { return Err("no room for a command of such a form") };
-        let ask = command::read_list(held.as_slice(), &scanner.elements, &self.names);
-        let answer = ask.map_or_else(|why| command::faulty(&why), |ask| self.bounced(ask.group));
-        *passed = Some(Passed { left: end - held.len(), sequence: client.reserve_sequence(), answer });
-        client.asked.set(true);
-        let length = held.len();
-        held.consume(length, 0);
+        let Some((end, true)) = required else { return Err("no room for this command") };
+        let request = command::parse_attributes(received.as_slice(), &scanner.elements, &self.names);
+        let reply = request
+            .map_or_else(|error| command::error_reply(&error), |request| self.bounced_reply(request.group));
+        *skipped = Some(SkippedCommand {
+            remaining_bytes: end - received.len(),
+            sequence: client.reserve_sequence(),
+            reply,
+        });
+        client.has_sent_command.set(true);
+        let length = received.len();
+        received.consume(length, 0);
         scanner.reset();
         Ok(())
     }
 
-    fn bounced(&self, group: usize) -> Vec<u8> {
-        command::bounced(retry_after(self.names.groups[group].target, self.names.retry_in))
+    fn bounced_reply(&self, group: usize) -> Vec<u8> {
+        command::bounced_reply(retry_after(self.names.groups[group].target, self.names.retry_in))
     }
 
-    /// Says why a connection is read no more; it is closed once that and all before it is answered.
-    fn give_up_reading(&self, client: &Rc<Client>, reading: &mut Reading, why: &str) {
+    /// Replies with the reason why the connection is no longer read; it is closed once all commands are
+    /// answered.
+    fn reject_stream(&self, client: &Rc<Client>, state: &mut ReadState, error: &str) {
         client.closing.set(true);
         let sequence =
-            reading.passed.take().map_or_else(|| client.reserve_sequence(), |passed| passed.sequence);
-        self.faulty(client, sequence, &format!("protocol error: {why}"));
-        let length = reading.held.len();
-        reading.held.consume(length, 0);
+            state.skipped.take().map_or_else(|| client.reserve_sequence(), |skipped| skipped.sequence);
+        self.reply_with_error(client, sequence, &format!("protocol error: {error}"));
+        let length = state.received.len();
+        state.received.consume(length, 0);
     }
 
-    fn faulty(&self, client: &Rc<Client>, sequence: u64, why: &str) {
-        debug!("a client's command answered with an error: {why}");
-        client.answer(sequence, line(&self.ledger, command::faulty(why)));
+    fn reply_with_error(&self, client: &Rc<Client>, sequence: u64, error: &str) {
+        debug!("replied to a client command with an error: {error}");
+        client.reply(sequence, text_reply(&self.ledger, command::error_reply(error)));
     }
 
-    /// Takes the commands that are whole, for as long as more may be asked.
-    fn take_whole(&self, client: &Rc<Client>, reading: &mut Reading) -> Result<(), &'static str> {
-        if let Some(Passed { sequence, answer, .. }) = reading.passed.take_if(|p| p.left == 0) {
-            client.answer(sequence, Answer::Line(answer));
+    /// Dispatches the complete commands for as long as the client accepts more.
+    fn dispatch_commands(&self, client: &Rc<Client>, state: &mut ReadState) -> Result<(), &'static str> {
+        if let Some(SkippedCommand { sequence, reply, .. }) =
+            state.skipped.take_if(|s| s.remaining_bytes == 0)
+        {
+            client.reply(sequence, Reply::Line(reply));
         }
-        let Reading { held, scanner, .. } = reading;
-        while !held.is_empty() && client.may_ask() {
-            let bytes = held.as_slice();
+        let ReadState { received, scanner, .. } = state;
+        while !received.is_empty() && client.accepts_commands() {
+            let bytes = received.as_slice();
             if scanner.is_at_message_start() && bytes[0] != b'*' {
-                return Err("a command is an array of bulk strings");
+                return Err("expected a command as an array of bulk strings");
             }
             let Some(length) = scanner.scan(bytes)? else { break };
             if scanner.elements.is_empty()
                 || scanner.elements.iter().any(|p| p.kind != ElementKind::BulkString)
             {
-                return Err("a command is an array of bulk strings");
+                return Err("expected a command as an array of bulk strings");
             }
-            let request = understand(&bytes[..length], &scanner.elements, &self.names);
+            let parsed = parse_command(&bytes[..length], &scanner.elements, &self.names);
             scanner.reset();
             let sequence = client.reserve_sequence();
-            match request {
-                Ok(Request::Hit(ask)) => {
-                    let group = ask.group;
-                    let Ok(block) = held.take_block_with_extra(length, Purpose::in_flight(group), HIT_BYTES)
+            match parsed {
+                Ok(Request::Hit(request)) => {
+                    let group = request.group;
+                    let Ok(block) =
+                        received.take_block_with_extra(length, Purpose::in_flight(group), HIT_BYTES)
                     else {
-                        held.consume(length, MIN_CAPACITY_BYTES);
-                        client.answer(sequence, Answer::Line(self.bounced(group)));
+                        received.consume(length, MIN_CAPACITY_BYTES);
+                        client.reply(sequence, Reply::Line(self.bounced_reply(group)));
                         continue;
                     };
-                    let (command, received_at) = (Command { block, ask }, self.crowd.clock.now());
+                    let (command, received_at) = (Command { block, request }, self.registry.clock.now());
                     let client = client.clone();
                     self.inbox.push_hit(IncomingHit { client, sequence, command, received_at });
                 }
-                Ok(Request::Other(answer)) => {
-                    held.consume(length, MIN_CAPACITY_BYTES);
-                    client.answer(sequence, line(&self.ledger, answer));
+                Ok(Request::Immediate(reply)) => {
+                    received.consume(length, MIN_CAPACITY_BYTES);
+                    client.reply(sequence, text_reply(&self.ledger, reply));
                 }
-                Err(why) => {
-                    held.consume(length, MIN_CAPACITY_BYTES);
-                    self.faulty(client, sequence, &why);
+                Err(error) => {
+                    received.consume(length, MIN_CAPACITY_BYTES);
+                    self.reply_with_error(client, sequence, &error);
                 }
             }
         }
@@ -336,12 +371,14 @@
     }
 }
 
-impl Reading {
-    /// Takes in what was read: no more than there is room for, or than is read past.
-    fn takes(&mut self, bytes: &[u8]) {
-        match &mut self.passed {
-            Some(passed) => passed.left -= bytes.len().min(passed.left),
-            None if self.held.extend(bytes).is_err() => self.lost = Some("no room for what follows"),
+impl ReadState {
+    /// Takes in bytes read: at most as many as were reserved, or as are to be discarded.
+    fn take_input(&mut self, bytes: &[u8]) {
+        match &mut self.skipped {
+            Some(skipped) => skipped.remaining_bytes -= bytes.len().min(skipped.remaining_bytes),
+            None if self.received.extend(bytes).is_err() => {
+                self.framing_error = Some("no room for the rest of the command")
+            }
             None => {}
         }
     }
--- a/crates/marshal/src/command.rs
+++ b/crates/marshal/src/command.rs
@@ -1,4 +1,4 @@
-//! Commands of clients: what a whole one asks for, and how it is passed on.
+//! Parsing of client commands, and encoding of forwarded commands and of replies.
 
 use std::ops::Range;
 use stonescale::settings::Effect;
@@ -7,114 +7,116 @@
 use stonescale_formats::resp::{self, Element, MessageLimits};
 use stonescale_site::Names;
 
-/// A value or body holds at most 64 KiB, by the protocol page; the rest of a command is short.
-pub const VALUE: usize = 64 * 1024;
-pub const BOUNDS: MessageLimits = MessageLimits {
+/// The protocol page allows 64 KiB for a value or body; the rest of a command is short.
+pub const MAX_VALUE_BYTES: usize = 64 * 1024;
+pub const COMMAND_LIMITS: MessageLimits = MessageLimits {
     max_elements: 16,
-    max_bulk_bytes: VALUE,
+    max_bulk_bytes: MAX_VALUE_BYTES,
     max_line_bytes: 512,
-    max_message_bytes: VALUE + 4 * 1024,
+    max_message_bytes: MAX_VALUE_BYTES + 4 * 1024,
 };
-/// No client waits longer than this.
-const LONGEST_WAIT_MS: u64 = 600_000;
+/// Longest wait that a client may state, in milliseconds.
+const MAX_WAIT_MS: u64 = 600_000;
 
-/// What a hit's command says, and where in it that stands.
-pub struct Ask {
-    /// The list of names and values, with its header, and where in it the wait stands.
-    list: Element,
-    wait: Range<usize>,
+/// The parsed arguments of a hit's command, with the positions of those needed for forwarding.
+pub struct HitRequest {
+    /// The attribute list argument with its length header, and the range of the stated wait within the
+    /// command.
+    attributes: Element,
+    wait_range: Range<usize>,
     pub group: usize,
     pub tenant: usize,
     pub key: u64,
-    pub patience: Span,
-    /// Where the id that the client gave it stands.
-    id: Range<usize>,
+    pub client_wait: Span,
+    /// Range of the id assigned by the client.
+    id_range: Range<usize>,
 }
 
-/// A hit's command as it came; only the wait that it states changes from forward to forward.
+/// A hit's command as received; only the stated wait changes between forwards.
 pub struct Command {
     pub block: Block,
-    pub ask: Ask,
+    pub request: HitRequest,
 }
 
 impl Command {
-    /// The id by which client, marshals and nodes know it.
+    /// The id by which clients, marshals and nodes know the hit.
     pub fn id(&self) -> std::borrow::Cow<'_, str> {
-        String::from_utf8_lossy(&self.block.as_slice()[self.ask.id.clone()])
+        String::from_utf8_lossy(&self.block.as_slice()[self.request.id_range.clone()])
     }
 
-    /// Hands the command to `write` in pieces, with `wait` as its stated wait.
-    pub fn pieces<R>(&self, wait: Span, write: impl FnOnce(&[&[u8]]) -> R) -> R {
-        let (bytes, Ask { list, wait: place, .. }) = (self.block.as_slice(), &self.ask);
+    /// Passes the command to `write` as slices, with `wait` as its stated wait.
+    pub fn with_pieces<R>(&self, wait: Span, write: impl FnOnce(&[&[u8]]) -> R) -> R {
+        let (bytes, HitRequest { attributes, wait_range, .. }) = (self.block.as_slice(), &self.request);
         let wait = (wait.as_nanos() / 1_000_000).max(1).to_string();
-        let header = format!("${}\r\n", list.payload.len() - place.len() + wait.len());
+        let header = format!("${}\r\n", attributes.payload.len() - wait_range.len() + wait.len());
         write(&[
-            &bytes[..list.encoded.start],
+            &bytes[..attributes.encoded.start],
             header.as_bytes(),
-            &bytes[list.payload.start..place.start],
+            &bytes[attributes.payload.start..wait_range.start],
             wait.as_bytes(),
-            &bytes[place.end..],
+            &bytes[wait_range.end..],
         ])
     }
 }
 
 pub enum Request {
-    Hit(Ask),
-    /// It is answered at once.
-    Other(Vec<u8>),
+    Hit(HitRequest),
+    /// A command answered at once, with its reply.
+    Immediate(Vec<u8>),
 }
 
-/// A hit's key as a number: as it stands where it is one, else mixed from its bytes; zero stands for none.
-fn key_number(text: &[u8]) -> u64 {
+/// Maps a hit's key to a number: a hex number of up to 16 digits to its value, any other text to its hash.
+/// Zero means no key.
+fn key_to_u64(text: &[u8]) -> u64 {
     let number = str::from_utf8(text).ok().filter(|t| t.len() <= 16);
     let number = number.and_then(|t| u64::from_str_radix(t, 16).ok());
     // FNV-1a.
-    let mix = |h: u64, b: &u8| (h ^ u64::from(*b)).wrapping_mul(0x0100_0000_01b3);
-    number.unwrap_or_else(|| text.iter().fold(0xcbf2_9ce4_8422_2325, mix))
+    let fnv_step = |hash: u64, byte: &u8| (hash ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3);
+    number.unwrap_or_else(|| text.iter().fold(0xcbf2_9ce4_8422_2325, fnv_step))
 }
 
-/// What a command asks for; an error says what is wrong with it.
-pub fn understand(bytes: &[u8], parts: &[Element], names: &Names) -> Result<Request, String> {
-    let word = |at: usize| parts.get(at).map(|p| &bytes[p.payload.clone()]).unwrap_or_default();
-    let name = String::from_utf8_lossy(word(0)).to_ascii_uppercase();
-    let plain = |text: &str| {
-        let mut out = Vec::new();
-        resp::write_simple_string(&mut out, text);
-        Ok(Request::Other(out))
+/// Parses a command; the error says what is wrong with it.
+pub fn parse_command(bytes: &[u8], elements: &[Element], names: &Names) -> Result<Request, String> {
+    let argument = |index: usize| elements.get(index).map(|e| &bytes[e.payload.clone()]).unwrap_or_default();
+    let name = String::from_utf8_lossy(argument(0)).to_ascii_uppercase();
+    let simple_string = |text: &str| {
+        let mut reply = Vec::new();
+        resp::write_simple_string(&mut reply, text);
+        Ok(Request::Immediate(reply))
     };
     let repeatable = match name.as_str() {
-        "PING" if parts.len() <= 1 => return plain("PONG"),
+        "PING" if elements.len() <= 1 => return simple_string("PONG"),
         "PING" => {
-            let mut out = Vec::new();
-            resp::write_bulk_string(&mut out, word(1));
-            return Ok(Request::Other(out));
+            let mut reply = Vec::new();
+            resp::write_bulk_string(&mut reply, argument(1));
+            return Ok(Request::Immediate(reply));
         }
-        "CLIENT" | "SELECT" => return plain("OK"),
-        "SVC.QUERY" if parts.len() == 4 => true,
-        "SVC.SUBMIT" if parts.len() == 5 => false,
-        "SVC.QUERY" | "SVC.SUBMIT" => return Err(format!("{name} with {} arguments", parts.len() - 1)),
+        "CLIENT" | "SELECT" => return simple_string("OK"),
+        "SVC.QUERY" if elements.len() == 4 => true,
+        "SVC.SUBMIT" if elements.len() == 5 => false,
+        "SVC.QUERY" | "SVC.SUBMIT" => return Err(format!("{name} with {} arguments", elements.len() - 1)),
         _ => return Err("unknown command".into()),
     };
-    let ask = read_list(bytes, parts, names)?;
-    let effect = names.groups[ask.group].effect;
+    let request = parse_attributes(bytes, elements, names)?;
+    let effect = names.groups[request.group].effect;
     if repeatable != (effect == Effect::Repeatable) {
         return Err(format!("{name} does not serve the class in c"));
     }
-    Ok(Request::Hit(ask))
+    Ok(Request::Hit(request))
 }
 
-/// What the third argument says; also of a command whose body has not come.
-pub fn read_list(bytes: &[u8], parts: &[Element], names: &Names) -> Result<Ask, String> {
-    let word = |at: usize| parts.get(at).map(|p| &bytes[p.payload.clone()]).unwrap_or_default();
-    let list = parts.get(3).ok_or("no list of names and values")?;
-    let (mut group, mut tenant, mut wait, mut tagged) = (None, None, None, false);
-    let mut start = list.payload.start;
-    for item in word(3).split(|b| *b == b',') {
-        let (at, split) = (start, item.iter().position(|b| *b == b'=').unwrap_or(item.len()));
+/// Parses the attribute list, the third argument; works also on a command whose body has not been received.
+pub fn parse_attributes(bytes: &[u8], elements: &[Element], names: &Names) -> Result<HitRequest, String> {
+    let argument = |index: usize| elements.get(index).map(|e| &bytes[e.payload.clone()]).unwrap_or_default();
+    let attributes = elements.get(3).ok_or("attribute list is missing")?;
+    let (mut group, mut tenant, mut wait_field, mut tagged) = (None, None, None, false);
+    let mut start = attributes.payload.start;
+    for item in argument(3).split(|b| *b == b',') {
+        let (item_start, separator) = (start, item.iter().position(|b| *b == b'=').unwrap_or(item.len()));
         start += item.len() + 1;
-        let value = item.get(split + 1..).unwrap_or_default();
+        let value = item.get(separator + 1..).unwrap_or_default();
         let text = String::from_utf8_lossy(value);
-        match &item[..split] {
+        match &item[..separator] {
             b"c" => {
                 group = Some(names.groups.iter().position(|g| g.name == text).ok_or("unknown class in c")?)
             }
@@ -123,9 +125,12 @@
                 tenant = Some(names.tenants.iter().position(|t| *t == text).ok_or("unknown tenant in t")?)
             }
             b"d" => {
-                let digits = value.iter().all(u8::is_ascii_digit);
-                let ms = text.parse().ok().filter(|ms| digits && *ms <= LONGEST_WAIT_MS);
-                wait = Some((ms.ok_or("d is not a wait in milliseconds")?, at + split + 1..at + item.len()));
+                let all_digits = value.iter().all(u8::is_ascii_digit);
+                let ms = text.parse().ok().filter(|ms| all_digits && *ms <= MAX_WAIT_MS);
+                wait_field = Some((
+                    ms.ok_or("d is not a wait in milliseconds")?,
+                    item_start + separator + 1..item_start + item.len(),
+                ));
             }
             b"k" if value.is_empty() => return Err("k is empty".into()),
             b"k" => tagged = true,
@@ -133,41 +138,41 @@
         }
     }
     let group = group.ok_or("c is missing")?;
-    let (ms, wait) = wait.ok_or("d is missing")?;
+    let (wait_ms, wait_range) = wait_field.ok_or("d is missing")?;
     let tenant = if names.tenants.is_empty() { 0 } else { tenant.ok_or("t is missing")? };
     if matches!(names.groups[group].effect, Effect::Tagged { .. }) && !tagged {
         return Err("k is missing".into());
     }
-    let id = parts.get(2).map_or(0..0, |p| p.payload.clone());
-    Ok(Ask {
-        id,
-        list: list.clone(),
-        wait,
+    let id_range = elements.get(2).map_or(0..0, |p| p.payload.clone());
+    Ok(HitRequest {
+        id_range,
+        attributes: attributes.clone(),
+        wait_range,
         group,
         tenant,
-        key: key_number(word(1)),
-        patience: Span::millis(ms),
+        key: key_to_u64(argument(1)),
+        client_wait: Span::millis(wait_ms),
     })
 }
 
-/// The answer to a bounced hit; `retry_in` is zero where no wait is named.
-pub fn bounced(retry_in: Span) -> Vec<u8> {
-    let mut answer = Vec::new();
+/// Reply to a bounced hit; with a zero `retry_in` it states no retry-after time.
+pub fn bounced_reply(retry_in: Span) -> Vec<u8> {
+    let mut reply = Vec::new();
     match retry_in.as_nanos().div_ceil(1_000_000) {
-        0 => resp::write_error(&mut answer, "BUSY"),
-        ms => resp::write_error(&mut answer, &format!("BUSY {ms}")),
+        0 => resp::write_error(&mut reply, "BUSY"),
+        ms => resp::write_error(&mut reply, &format!("BUSY {ms}")),
     }
-    answer
+    reply
 }
 
-/// The answer to an errored hit.
-pub fn errored() -> Vec<u8> {
-    faulty("failed")
+/// Reply to an errored hit.
+pub fn errored_reply() -> Vec<u8> {
+    error_reply("failed")
 }
 
-/// The answer to what is no lawful command.
-pub fn faulty(why: &str) -> Vec<u8> {
-    let mut answer = Vec::new();
-    resp::write_error(&mut answer, &format!("ERR {why}"));
-    answer
+/// Reply to an invalid command.
+pub fn error_reply(message: &str) -> Vec<u8> {
+    let mut reply = Vec::new();
+    resp::write_error(&mut reply, &format!("ERR {message}"));
+    reply
 }
--- a/crates/marshal/src/core.rs
+++ b/crates/marshal/src/core.rs
@@ -1,13 +1,13 @@
-//! The core task: it alone owns the decision module, its timers and the hits' numbers. Socket tasks reach it
-//! through the inbox only; what the module calls for is carried out here.
+//! The core task: sole owner of the decision module, its timers and the numbers of hits. Socket tasks reach
+//! it only through the inbox; the module's calls on its host are carried out here.
 
-use crate::client::{Answer, Client};
+use crate::client::{Client, Reply};
 use crate::clock::Clock;
 use crate::command::{self, Command};
 use crate::discovery::Discovery;
 use crate::endings::EndReason;
 use crate::inbox::{ControlEvent, HitEvent, Inbox, IncomingHit, NodeEntry, StageReport};
-use crate::nodes::{Link, Nodes};
+use crate::nodes::{NodeConnection, NodePool};
 use crate::platform::Platform;
 use crate::reactor;
 use futures_lite::future::{or, yield_now};
@@ -24,75 +24,76 @@
 use stonescale_store::{Slots, TimerHandle, TimerWheel};
 use tracing::{debug, info, trace, warn};
 
-/// How often idle connections are looked at.
-const SWEEP: Span = Span::millis(500);
-/// Arrivals taken in one batch: then news and outcomes have their turn again.
-const BATCH: usize = 64;
+/// Interval between sweeps of idle connections and removed nodes.
+const SWEEP_INTERVAL: Span = Span::millis(500);
+/// Hits handled in one batch, after which control events and hit events are processed again.
+const MAX_HITS_PER_BATCH: usize = 64;
 
-/// What comes due.
+/// Event of the timer wheel.
 #[derive(Clone, Copy)]
-enum Due {
-    Token(u64),
-    Forward(u32, u8),
+enum TimerEvent {
+    MarshalTimer(u64),
+    ForwardTimeout(u32, u8),
     Sweep,
 }
 
-/// A hit that is not done with: its answer, or the end of a forward, is still to come.
-struct Open {
+/// A hit whose reply, or the end of one of whose forwards, is still outstanding.
+struct PendingHit {
     client: Rc<Client>,
     sequence: u64,
     command: Command,
     answered: bool,
-    forwards: Vec<Forward>,
-    /// Its timers in the module: a client may wait for minutes and be answered at once, and they must not stand on.
-    ends: Option<TimerHandle>,
-    copy: Option<TimerHandle>,
+    forwards: Vec<ForwardState>,
+    /// Timers of the decision module, cancelled with the hit: a client that may wait for minutes is often
+    /// answered at once, and its timers would otherwise accumulate.
+    deadline_timer: Option<TimerHandle>,
+    hedge_timer: Option<TimerHandle>,
 }
 
-struct Forward {
-    sent: Time,
-    /// The connection, until its end was told; none where there was none to be had.
-    link: Option<Rc<Link>>,
-    told: bool,
-    /// When it has been waited for long enough.
-    limit: Option<TimerHandle>,
+struct ForwardState {
+    sent_at: Time,
+    /// The connection until the forward's end has been reported; `None` if no connection was available.
+    connection: Option<Rc<NodeConnection>>,
+    ended: bool,
+    /// Fires when the forward's timeout expires.
+    timeout_timer: Option<TimerHandle>,
 }
 
-/// What the module's calls act on.
-pub struct Doors {
+/// Implements the decision module's calls on its host.
+pub struct MarshalHost {
     clock: Clock,
     now: Time,
-    due: TimerWheel<Due>,
-    hits: Slots<Open>,
-    taken: u64,
+    timers: TimerWheel<TimerEvent>,
+    hits: Slots<PendingHit>,
+    hits_received: u64,
     ledger: Ledger,
-    /// Numbers of nodes by their listed ids, and numbers that are free again.
-    ids: HashMap<String, (usize, Charge)>,
-    /// For the present list, room was made for nodes already.
-    swept: bool,
-    free: Vec<usize>,
+    /// Node numbers by listed id, and numbers free for reuse.
+    node_numbers: HashMap<String, (usize, Charge)>,
+    /// Whether room for nodes was already reclaimed while applying the current list.
+    reclaimed_for_list: bool,
+    free_numbers: Vec<usize>,
     inbox: Rc<Inbox>,
-    nodes: Nodes,
+    nodes: NodePool,
     discovery: Discovery,
     platform: Rc<Platform>,
 }
 
-impl Doors {
+impl MarshalHost {
     pub fn new(
-        clock: Clock, ledger: Ledger, inbox: Rc<Inbox>, nodes: Nodes, discovery: Discovery,
+        clock: Clock, ledger: Ledger, inbox: Rc<Inbox>, nodes: NodePool, discovery: Discovery,
         platform: Rc<Platform>,
     ) -> Self {
-        let (now, ids, free) = (clock.now(), HashMap::new(), Vec::new());
-        Doors {
+        let (now, node_numbers, free_numbers) = (clock.now(), HashMap::new(), Vec::new());
+        MarshalHost {
             clock,
             now,
-            due: TimerWheel::new(now),
+            timers: TimerWheel::new(now),
             hits: Slots::default(),
-            taken: 0,
+            hits_received: 0,
             ledger,
-            ids,
-            swept: false,
-            free,
+            node_numbers,
+            reclaimed_for_list: false,
+            free_numbers,
             inbox,
             nodes,
             discovery,
@@ -100,103 +101,120 @@
         }
     }
 
-    /// A node's small number, by its listed id; none for a new one without room for its records.
-    fn number(&mut self, id: String) -> Option<usize> {
-        if let Some((number, _)) = self.ids.get(&id) {
+    /// Returns the number assigned to a node's listed id; `None` for a new node without room for its records.
+    fn node_number(&mut self, id: String) -> Option<usize> {
+        if let Some((number, _)) = self.node_numbers.get(&id) {
             return Some(*number);
         }
         let charge = self.ledger.charge(Purpose::Nodes, NODE_RECORD_BYTES).or_else(|_| {
-            // Those that are gone make room before their time; once a list, as that looks at them all.
-            if !std::mem::replace(&mut self.swept, true) {
-                self.forget(true);
+            // Removed nodes are dropped before their retention ends. At most once a list, as that scans all
+            // nodes.
+            if !std::mem::replace(&mut self.reclaimed_for_list, true) {
+                self.sweep_nodes(true);
             }
             self.ledger.charge(Purpose::Nodes, NODE_RECORD_BYTES)
         });
         let charge = charge.ok()?;
-        let next = self.ids.len() + self.free.len();
-        let number = self.free.pop().unwrap_or(next);
-        self.ids.insert(id, (number, charge));
+        let next = self.node_numbers.len() + self.free_numbers.len();
+        let number = self.free_numbers.pop().unwrap_or(next);
+        self.node_numbers.insert(id, (number, charge));
         Some(number)
     }
 
-    /// Looks after idle connections, and forgets nodes that are gone for long (or at all, where room is `short`).
-    fn forget(&mut self, short: bool) {
-        let over = self.nodes.sweep(short);
-        if short {
-            self.ledger.record_reclaimed(Purpose::Nodes, over.len() * NODE_RECORD_BYTES);
+    /// Closes idle connections, and drops nodes removed some time ago (with `drop_removed`, all removed
+    /// nodes).
+    fn sweep_nodes(&mut self, drop_removed: bool) {
+        let removed = self.nodes.sweep(drop_removed);
+        if drop_removed {
+            self.ledger.record_reclaimed(Purpose::Nodes, removed.len() * NODE_RECORD_BYTES);
         }
-        if !over.is_empty() {
-            let gone: HashSet<usize> = over.iter().copied().collect();
-            self.ids.retain(|_, (number, _)| !gone.contains(number));
-            self.free.extend(&over);
+        if !removed.is_empty() {
+            let removed_set: HashSet<usize> = removed.iter().copied().collect();
+            self.node_numbers.retain(|_, (number, _)| !removed_set.contains(number));
+            self.free_numbers.extend(&removed);
         }
     }
 
-    /// Answers a hit, once.
-    fn answer(&mut self, hit: u32, line: impl FnOnce() -> Vec<u8>) {
-        if let Some(open) = self.hits.get_mut(hit).filter(|open| !open.answered) {
-            open.answered = true;
-            open.client.answer(open.sequence, Answer::Line(line()));
-            self.release(hit);
+    /// Replies to a hit unless it has been answered.
+    fn reply(&mut self, hit: u32, line: impl FnOnce() -> Vec<u8>) {
+        if let Some(pending) = self.hits.get_mut(hit).filter(|pending| !pending.answered) {
+            pending.answered = true;
+            pending.client.reply(pending.sequence, Reply::Line(line()));
+            self.release_if_done(hit);
         }
     }
 
-    /// Forgets a hit that is answered, with the ends of all its forwards told.
-    fn release(&mut self, hit: u32) {
-        if self.hits.get(hit).is_some_and(|open| open.answered && open.forwards.iter().all(|f| f.told)) {
-            let timers = self.hits.remove(hit).map(|open| [open.ends, open.copy]);
-            for set in timers.into_iter().flatten().flatten() {
-                self.due.cancel(set);
+    /// Drops a hit that is answered once the ends of all its forwards have been reported.
+    fn release_if_done(&mut self, hit: u32) {
+        if self
+            .hits
+            .get(hit)
+            .is_some_and(|pending| pending.answered && pending.forwards.iter().all(|f| f.ended))
+        {
+            let handles = self.hits.remove(hit).map(|pending| [pending.deadline_timer, pending.hedge_timer]);
+            for handle in handles.into_iter().flatten().flatten() {
+                self.timers.cancel(handle);
             }
         }
     }
 
-    fn give_up(&self, hit: u32, hop: u8, reason: EndReason) {
-        let forward = self.hits.get(hit).and_then(|open| open.forwards.get(usize::from(hop)));
-        if let Some(Forward { link: Some(link), told: false, .. }) = forward {
-            self.nodes.give_up(link, hit, hop, reason);
+    fn abort_forward(&self, hit: u32, hop: u8, reason: EndReason) {
+        let forward = self.hits.get(hit).and_then(|pending| pending.forwards.get(usize::from(hop)));
+        if let Some(ForwardState { connection: Some(connection), ended: false, .. }) = forward {
+            self.nodes.abort_forward(connection, hit, hop, reason);
         }
     }
 }
 
-impl Host for Doors {
+impl Host for MarshalHost {
     fn forward(&mut self, hit: u32, node: u64, timeout: Span) {
-        let Some(open) = self.hits.get_mut(hit) else { return };
-        let hop = open.forwards.len() as u8;
-        let link = match open.answered {
+        let Some(pending) = self.hits.get_mut(hit) else { return };
+        let hop = pending.forwards.len() as u8;
+        let connection = match pending.answered {
             true => Err(EndReason::NoSuchNode),
-            false => self.nodes.forward(node as usize, hit, hop, &open.command, timeout),
+            false => self.nodes.forward(node as usize, hit, hop, &pending.command, timeout),
         };
-        match link {
-            Ok(link) => {
-                trace!("hit {} forward {hop} to {}", open.command.id(), self.nodes.addr(node as usize));
-                let limit = Some(self.due.schedule(self.now + timeout, Due::Forward(hit, hop)));
-                open.forwards.push(Forward { sent: self.now, link: Some(link), told: false, limit });
+        match connection {
+            Ok(connection) => {
+                trace!("hit {} forward {hop} to {}", pending.command.id(), self.nodes.addr(node as usize));
+                let timeout_timer =
+                    Some(self.timers.schedule(self.now + timeout, TimerEvent::ForwardTimeout(hit, hop)));
+                pending.forwards.push(ForwardState {
+                    sent_at: self.now,
+                    connection: Some(connection),
+                    ended: false,
+                    timeout_timer,
+                });
             }
             Err(reason) => {
-                open.forwards.push(Forward { sent: self.now, link: None, told: false, limit: None });
-                debug!("a forward could not be sent: {reason:?}");
+                pending.forwards.push(ForwardState {
+                    sent_at: self.now,
+                    connection: None,
+                    ended: false,
+                    timeout_timer: None,
+                });
+                debug!("forward could not be sent: {reason:?}");
                 self.inbox.push_forward_end(hit, hop, reason, false);
             }
         }
     }
 
     fn bounce(&mut self, hit: u32, retry_in: Span) {
-        self.answer(hit, || command::bounced(retry_in));
+        self.reply(hit, || command::bounced_reply(retry_in));
     }
 
     fn report_give_up(&mut self, hit: u32, why: GiveUpReason) {
-        if let Some(open) = self.hits.get(hit) {
-            trace!("hit {} given up: {why:?}, {} forwards", open.command.id(), open.forwards.len());
+        if let Some(pending) = self.hits.get(hit) {
+            trace!("hit {} given up: {why:?}, {} forwards", pending.command.id(), pending.forwards.len());
         }
     }
 
     fn error(&mut self, hit: u32) {
-        self.answer(hit, command::errored);
+        self.reply(hit, command::errored_reply);
     }
 
     fn cancel(&mut self, hit: u32, hop: u8) {
-        self.give_up(hit, hop, EndReason::CalledOff);
+        self.abort_forward(hit, hop, EndReason::CalledOff);
     }
 
     fn vote(&mut self, build: u16, stage: u8, verdict: Verdict) {
@@ -213,11 +231,13 @@
     }
 
     fn set_timer(&mut self, wait: Span, token: u64) {
-        let set = self.due.schedule(self.now + wait, Due::Token(token));
+        let handle = self.timers.schedule(self.now + wait, TimerEvent::MarshalTimer(token));
         match Timer::from(token) {
-            Timer::Deadline(hit) => self.hits.get_mut(hit).map(|open| open.ends = Some(set)),
-            // One that stood for an earlier forward comes due by itself, and finds that ended.
-            Timer::Hedge(hit, _) => self.hits.get_mut(hit).map(|open| open.copy = Some(set)),
+            Timer::Deadline(hit) => {
+                self.hits.get_mut(hit).map(|pending| pending.deadline_timer = Some(handle))
+            }
+            // The timer of an earlier forward stays scheduled; when it fires, that forward has ended.
+            Timer::Hedge(hit, _) => self.hits.get_mut(hit).map(|pending| pending.hedge_timer = Some(handle)),
             Timer::Evaluate | Timer::RequestList => None,
         };
     }
@@ -229,186 +249,200 @@
 
 pub struct Core {
     marshal: Marshal,
-    doors: Doors,
+    host: MarshalHost,
 }
 
 impl Core {
-    pub fn new(marshal: Marshal, mut doors: Doors) -> Self {
-        doors.due.schedule(doors.now, Due::Sweep);
-        Core { marshal, doors }
+    pub fn new(marshal: Marshal, mut host: MarshalHost) -> Self {
+        host.timers.schedule(host.now, TimerEvent::Sweep);
+        Core { marshal, host }
     }
 
     /// Runs until the process ends.
     pub async fn run(mut self) {
-        let inbox = self.doors.inbox.clone();
+        let inbox = self.host.inbox.clone();
         loop {
             if inbox.is_empty() {
-                let due = self.doors.due.next_wakeup().map(|at| self.doors.clock.instant(at));
-                let due = async {
-                    match due {
+                let next_timer = self.host.timers.next_wakeup().map(|at| self.host.clock.instant(at));
+                let timer_due = async {
+                    match next_timer {
                         Some(at) => reactor::Timer::at(at).await,
                         None => std::future::pending().await,
                     }
                 };
-                or(inbox.signal.wait(), due).await;
+                or(inbox.signal.wait(), timer_due).await;
             } else {
-                // Let the socket tasks bring what has come meanwhile.
+                // Let the socket tasks deliver pending input first.
                 yield_now().await;
             }
-            self.batch(&inbox);
+            self.process_batch(&inbox);
         }
     }
 
-    /// News first, so that drains and caps bind at once; then answers, then what is due, then new hits.
-    fn batch(&mut self, inbox: &Inbox) {
-        while let Some(news) = self.tick(&inbox.control_events) {
-            self.news(news);
+    /// Control events come first, so that drains and caps take effect at once; then forward ends, due timers,
+    /// and new hits.
+    fn process_batch(&mut self, inbox: &Inbox) {
+        while let Some(event) = self.pop_next(&inbox.control_events) {
+            self.handle_control_event(event);
         }
-        while let Some(outcome) = self.tick(&inbox.hit_events) {
-            match outcome {
+        while let Some(event) = self.pop_next(&inbox.hit_events) {
+            match event {
                 HitEvent::ForwardEnded { hit, hop, reason, sent, value } => {
-                    self.ended(hit, hop, reason, sent, value)
+                    self.handle_forward_end(hit, hop, reason, sent, value)
                 }
-                HitEvent::ClientLeft(hits) => hits.into_iter().for_each(|hit| self.left(hit)),
+                HitEvent::ClientLeft(hits) => hits.into_iter().for_each(|hit| self.handle_client_left(hit)),
             }
         }
-        let now = self.doors.clock.now();
-        self.doors.now = now;
-        while let Some((_, due)) = self.doors.due.pop(now) {
-            match due {
-                Due::Token(token) => self.marshal.on_timer(&mut self.doors, now, token),
-                Due::Forward(hit, hop) => self.doors.give_up(hit, hop, EndReason::WaitedOut),
-                Due::Sweep => {
-                    let short =
-                        self.doors.ledger.reclaim_action(Purpose::Nodes) == ReclaimAction::DropRemovedNodes;
-                    self.doors.forget(short);
+        let now = self.host.clock.now();
+        self.host.now = now;
+        while let Some((_, event)) = self.host.timers.pop(now) {
+            match event {
+                TimerEvent::MarshalTimer(token) => self.marshal.on_timer(&mut self.host, now, token),
+                TimerEvent::ForwardTimeout(hit, hop) => {
+                    self.host.abort_forward(hit, hop, EndReason::WaitedOut)
+                }
+                TimerEvent::Sweep => {
+                    let drop_removed =
+                        self.host.ledger.reclaim_action(Purpose::Nodes) == ReclaimAction::DropRemovedNodes;
+                    self.host.sweep_nodes(drop_removed);
                     debug!(
-                        "{} hits open, {} taken so far, {} node connections",
-                        self.doors.hits.len(),
-                        self.doors.taken,
-                        self.doors.nodes.open()
+                        "{} hits pending, {} received in total, {} node connections",
+                        self.host.hits.len(),
+                        self.host.hits_received,
+                        self.host.nodes.open_connections()
                     );
-                    self.doors.due.schedule(now + SWEEP, Due::Sweep);
+                    self.host.timers.schedule(now + SWEEP_INTERVAL, TimerEvent::Sweep);
                 }
             }
         }
-        for _ in 0..BATCH {
-            let Some(arrival) = self.tick(&inbox.incoming_hits) else { break };
-            self.arrived(arrival);
+        for _ in 0..MAX_HITS_PER_BATCH {
+            let Some(hit) = self.pop_next(&inbox.incoming_hits) else { break };
+            self.handle_hit(hit);
         }
     }
 
-    /// The next of a lane, with the clock read.
-    fn tick<T>(&mut self, lane: &std::cell::RefCell<std::collections::VecDeque<T>>) -> Option<T> {
-        let next = lane.borrow_mut().pop_front()?;
-        self.doors.now = self.doors.clock.now();
+    /// Takes the next item of a queue and updates the current time.
+    fn pop_next<T>(&mut self, queue: &std::cell::RefCell<std::collections::VecDeque<T>>) -> Option<T> {
+        let next = queue.borrow_mut().pop_front()?;
+        self.host.now = self.host.clock.now();
         Some(next)
     }
 
-    fn news(&mut self, news: ControlEvent) {
-        let now = self.doors.now;
-        match news {
-            ControlEvent::NodeList(how, entries, _charge) => self.listed(how, entries),
-            ControlEvent::ListFailed => self.marshal.on_list_failed(&mut self.doors, now),
-            ControlEvent::Stage(stage, vote) => self.staged(stage, vote),
-            ControlEvent::WrongAnswerReport { node, group, age } => match self.doors.ids.get(&node) {
-                Some((at, _)) => self.marshal.on_wrong_answer_report(now, *at as u64, group, age),
-                None => warn!("a complaint about an unknown node is skipped"),
+    fn handle_control_event(&mut self, event: ControlEvent) {
+        let now = self.host.now;
+        match event {
+            ControlEvent::NodeList(update, entries, _charge) => self.apply_node_list(update, entries),
+            ControlEvent::ListFailed => self.marshal.on_list_failed(&mut self.host, now),
+            ControlEvent::Stage(stage, vote) => self.apply_stage(stage, vote),
+            ControlEvent::WrongAnswerReport { node, group, age } => match self.host.node_numbers.get(&node) {
+                Some((number, _)) => self.marshal.on_wrong_answer_report(now, *number as u64, group, age),
+                None => warn!("ignoring a wrong-answer report about an unknown node"),
             },
             ControlEvent::AddressesChanged(discovery, platform) => {
-                discovery.into_iter().for_each(|addr| self.doors.discovery.at(addr));
-                platform.into_iter().for_each(|addr| self.doors.platform.at(addr));
+                discovery.into_iter().for_each(|addr| self.host.discovery.at(addr));
+                platform.into_iter().for_each(|addr| self.host.platform.at(addr));
             }
-            ControlEvent::PlatformCounts(build, group, n, failed) => {
-                self.marshal.on_platform_counts(now, (build, group), (n, failed))
+            ControlEvent::PlatformCounts(build, group, forwards, failed) => {
+                self.marshal.on_platform_counts(now, (build, group), (forwards, failed))
             }
         }
     }
 
-    pub fn listed(&mut self, how: ListUpdate, entries: Vec<NodeEntry>) {
-        debug!("list: {how:?}, {} entries", entries.len());
-        let now = self.doors.now;
-        let (mut named, mut left_out) = (HashSet::new(), 0);
-        self.doors.swept = false;
-        self.marshal.on_list_begin(now, how);
-        for (id, addr, attributes, readiness, build, started) in entries {
-            let Some(at) = self.doors.number(id) else {
-                // One that is not known gets no forwards: nothing is missed with it.
+    pub fn apply_node_list(&mut self, update: ListUpdate, entries: Vec<NodeEntry>) {
+        debug!("list: {update:?}, {} entries", entries.len());
+        let now = self.host.now;
+        let (mut listed, mut left_out) = (HashSet::new(), 0);
+        self.host.reclaimed_for_list = false;
+        self.marshal.on_list_begin(now, update);
+        for (id, addr, attributes, readiness, build, started_at) in entries {
+            let Some(number) = self.host.node_number(id) else {
+                // A node left out only gets no forwards.
                 left_out += 1;
                 continue;
             };
-            named.insert(at);
-            self.doors.nodes.listed(at, addr, readiness, started);
-            self.marshal.on_list_entry(at as u64, attributes, readiness, build, started);
+            listed.insert(number);
+            self.host.nodes.update_node(number, addr, readiness, started_at);
+            self.marshal.on_list_entry(number as u64, attributes, readiness, build, started_at);
         }
         if left_out > 0 {
             warn!("{left_out} nodes of the list are left out: there is no room for their records");
         }
-        if how != ListUpdate::Delta {
-            self.doors.nodes.keep_only(&named);
+        if update != ListUpdate::Delta {
+            self.host.nodes.remove_unlisted(&listed);
         }
-        self.marshal.on_list_end(&mut self.doors);
+        self.marshal.on_list_end(&mut self.host);
     }
 
-    pub fn staged(&mut self, (build, stage, standing, cap, age): StageReport, vote: Option<ForwardOutcome>) {
-        debug!("platform: build {build}, stage {stage}, {standing:?}, cap {cap}, vote {vote:?}");
-        let now = self.doors.now;
-        self.marshal.on_stage(&mut self.doors, now, (build, stage), standing, cap, age, vote);
+    pub fn apply_stage(
+        &mut self, (build, stage, status, cap, age): StageReport, vote: Option<ForwardOutcome>,
+    ) {
+        debug!("platform: build {build}, stage {stage}, {status:?}, cap {cap}, vote {vote:?}");
+        let now = self.host.now;
+        self.marshal.on_stage(&mut self.host, now, (build, stage), status, cap, age, vote);
     }
 
-    fn arrived(&mut self, IncomingHit { client, sequence, command, received_at }: IncomingHit) {
-        if client.gone.get() {
+    fn handle_hit(&mut self, IncomingHit { client, sequence, command, received_at }: IncomingHit) {
+        if client.closed.get() {
             return;
         }
         #[cfg(feature = "mutants")]
         crate::mutants::hit();
-        let now = self.doors.now;
-        self.doors.taken += 1;
-        let (group, tenant, key) = (command.ask.group, command.ask.tenant, command.ask.key);
-        // The client's wait runs since it sent the hit, not since the hit left this program's queues.
-        let patience = command.ask.patience - (now - received_at);
+        let now = self.host.now;
+        self.host.hits_received += 1;
+        let (group, tenant, key) = (command.request.group, command.request.tenant, command.request.key);
+        // The client's wait runs from the hit's arrival; time spent in this program's queues counts against
+        // it.
+        let remaining_wait = command.request.client_wait - (now - received_at);
         trace!(
-            "hit {} taken: group {group}, tenant {tenant}, waits {} ms",
+            "hit {} received: group {group}, tenant {tenant}, waits {} ms",
             command.id(),
-            patience.as_nanos() / 1_000_000
+            remaining_wait.as_nanos() / 1_000_000
         );
         let forwards = Vec::new();
-        let (bound, answered, ends, copy) = (client.clone(), false, None, None);
-        let hit = self.doors.hits.insert(Open { client, sequence, command, answered, forwards, ends, copy });
-        bound.bind(sequence, hit);
-        self.marshal.on_hit(&mut self.doors, now, hit, (group, tenant), key, patience, None);
+        let (hit_client, answered, deadline_timer, hedge_timer) = (client.clone(), false, None, None);
+        let hit = self.host.hits.insert(PendingHit {
+            client,
+            sequence,
+            command,
+            answered,
+            forwards,
+            deadline_timer,
+            hedge_timer,
+        });
+        hit_client.bind_hit(sequence, hit);
+        self.marshal.on_hit(&mut self.host, now, hit, (group, tenant), key, remaining_wait, None);
     }
 
-    fn ended(&mut self, hit: u32, hop: u8, reason: EndReason, sent: bool, value: Option<Block>) {
-        let now = self.doors.now;
-        let Some(open) = self.doors.hits.get_mut(hit) else { return };
-        let Some(forward) = open.forwards.get_mut(usize::from(hop)).filter(|f| !f.told) else { return };
-        (forward.link, forward.told) = (None, true);
-        if let Some(limit) = forward.limit.take() {
-            self.doors.due.cancel(limit);
+    fn handle_forward_end(&mut self, hit: u32, hop: u8, reason: EndReason, sent: bool, value: Option<Block>) {
+        let now = self.host.now;
+        let Some(pending) = self.host.hits.get_mut(hit) else { return };
+        let Some(forward) = pending.forwards.get_mut(usize::from(hop)).filter(|f| !f.ended) else { return };
+        (forward.connection, forward.ended) = (None, true);
+        if let Some(timeout_timer) = forward.timeout_timer.take() {
+            self.host.timers.cancel(timeout_timer);
         }
-        let (fate, latency) = (reason.outcome(sent), now - forward.sent);
+        let (outcome, latency) = (reason.outcome(sent), now - forward.sent_at);
         trace!(
             "hit {} forward {hop}: {reason:?} after {} ms",
-            open.command.id(),
+            pending.command.id(),
             latency.as_nanos() / 1_000_000
         );
-        if let (Some(value), false) = (value, open.answered) {
-            open.answered = true;
-            open.client.answer(open.sequence, Answer::Value(value));
+        if let (Some(value), false) = (value, pending.answered) {
+            pending.answered = true;
+            pending.client.reply(pending.sequence, Reply::Value(value));
         }
-        let last = open.answered;
-        self.marshal.on_forward_completed(&mut self.doors, now, (hit, hop), fate, last, latency);
-        self.doors.release(hit);
+        let answered = pending.answered;
+        self.marshal.on_forward_completed(&mut self.host, now, (hit, hop), outcome, answered, latency);
+        self.host.release_if_done(hit);
     }
 
-    fn left(&mut self, hit: u32) {
-        let now = self.doors.now;
-        if let Some(open) = self.doors.hits.get_mut(hit) {
-            open.answered = true;
-            trace!("hit {}: its client left", open.command.id());
-            self.marshal.on_client_left(&mut self.doors, now, hit);
-            self.doors.release(hit);
+    fn handle_client_left(&mut self, hit: u32) {
+        let now = self.host.now;
+        if let Some(pending) = self.host.hits.get_mut(hit) {
+            pending.answered = true;
+            trace!("hit {}: client disconnected", pending.command.id());
+            self.marshal.on_client_left(&mut self.host, now, hit);
+            self.host.release_if_done(hit);
         }
     }
 }
--- a/crates/marshal/src/nodes.rs
+++ b/crates/marshal/src/nodes.rs
@@ -1,8 +1,8 @@
-//! Nodes: connections to them, and the forwards that these carry. A connection carries one forward where
-//! another connection is to be had, since answers on a connection come in order; several where not.
+//! Connections to nodes and the forwards they carry. Replies on a connection come in order, so each forward
+//! gets a connection of its own where one is available; otherwise forwards are pipelined.
 
 use crate::clock::{Clock, duration};
-use crate::command::{Command, VALUE};
+use crate::command::{Command, MAX_VALUE_BYTES};
 use crate::endings::EndReason;
 use crate::inbox::{HitEvent, Inbox};
 use crate::reactor::Async;
@@ -25,332 +25,362 @@
 use stonescale_formats::resp::{ElementKind, MessageLimits, Scanner};
 use tracing::{debug, info, warn};
 
-const BOUNDS: MessageLimits = MessageLimits {
+const REPLY_LIMITS: MessageLimits = MessageLimits {
     max_elements: 8,
-    max_bulk_bytes: VALUE,
+    max_bulk_bytes: MAX_VALUE_BYTES,
     max_line_bytes: 1024,
-    max_message_bytes: VALUE + 4 * 1024,
+    max_message_bytes: MAX_VALUE_BYTES + 4 * 1024,
 };
-/// Of the time in which a node closes an idle connection: by then the marshal has closed it itself.
-const RETIRE: f64 = 0.6;
-/// Of that, where node connections run short of memory: one that was used so lately is likely used again.
-const PRESSED: f64 = 0.1;
-/// A second copy or noise may follow an answer right behind. It must have come to be seen, or it would be taken
-/// for the answer to the next hit: so long a connection rests, and then it is looked at.
-const REST: Span = Span::millis(5);
-/// One part in so many of what may be queued to all nodes that one may have queued.
-const NODE_PART: usize = 4;
-/// How soon a connection looks again whether there is room for the answer that comes on it.
-const AGAIN: Duration = Duration::from_millis(10);
+/// Fraction of the node's keepalive after which the marshal closes an idle connection, so that the node does
+/// not close it first.
+const IDLE_CLOSE_FRACTION: f64 = 0.6;
+/// Factor on that idle time when memory for node connections is short; connections used within the remaining
+/// time are likely to be used again.
+const PRESSURE_IDLE_FACTOR: f64 = 0.1;
+/// Time a connection stays idle before it is reused. A duplicate reply or stray bytes may directly follow a
+/// reply; they must have arrived by the time the connection is checked, or they would be taken for the reply
+/// to the next hit.
+const REUSE_DELAY: Span = Span::millis(5);
+/// One node may occupy this fraction of the memory for bytes queued to all nodes.
+const NODE_QUEUE_DIVISOR: usize = 4;
+/// Interval of retries to reserve memory for an incoming reply.
+const MEMORY_RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
-struct Flight {
+struct PendingForward {
     hit: u32,
     hop: u8,
-    /// Bytes written on the connection once this forward's last one is.
-    whole_at: u64,
-    /// Its end has been told; its answer, should one come, is read past.
-    told: bool,
+    /// Value of the connection's `written_bytes` once this forward is fully written.
+    end_offset: u64,
+    /// Its end has been reported; a reply that still comes is discarded.
+    reported: bool,
 }
 
 /// One connection to a node.
-pub struct Link {
-    opened: Time,
-    /// Until the connection is over: the descriptor must not wait for all that still know the link.
+pub struct NodeConnection {
+    opened_at: Time,
+    /// `None` once the connection has ended: the descriptor must not stay open while others hold a reference
+    /// to this value.
     stream: RefCell<Option<Rc<Async<TcpStream>>>>,
-    flights: RefCell<VecDeque<Flight>>,
-    out: RefCell<Buffer>,
-    queued: Cell<u64>,
-    written: Cell<u64>,
-    /// It takes no further forwards.
-    retired: Cell<bool>,
-    /// How it is to end, once that is asked for.
-    end: Cell<Option<EndReason>>,
-    used: Cell<Time>,
+    pending: RefCell<VecDeque<PendingForward>>,
+    write_buffer: RefCell<Buffer>,
+    queued_bytes: Cell<u64>,
+    written_bytes: Cell<u64>,
+    /// Accepts no further forwards.
+    draining: Cell<bool>,
+    /// Why the connection is to be closed, once that was requested.
+    close_reason: Cell<Option<EndReason>>,
+    last_used: Cell<Time>,
     signal: Signal,
-    _record: Charge,
+    _charge: Charge,
 }
 
-impl Link {
-    fn idle(&self) -> bool {
-        self.flights.borrow().is_empty()
+impl NodeConnection {
+    fn is_idle(&self) -> bool {
+        self.pending.borrow().is_empty()
     }
 
-    fn rested(&self, now: Time) -> bool {
-        self.idle() && now - self.used.get() >= REST
+    fn is_reusable(&self, now: Time) -> bool {
+        self.is_idle() && now - self.last_used.get() >= REUSE_DELAY
     }
 
-    fn finish(&self, reason: EndReason) {
-        self.retired.set(true);
-        if self.end.get().is_none() {
-            self.end.set(Some(reason));
+    fn close(&self, reason: EndReason) {
+        self.draining.set(true);
+        if self.close_reason.get().is_none() {
+            self.close_reason.set(Some(reason));
         }
         self.signal.raise();
     }
 
-    /// The forward's last byte has been written.
-    fn sent(&self, flight: &Flight) -> bool {
-        self.written.get() >= flight.whole_at
+    /// Whether the forward's last byte has been written.
+    fn is_written(&self, forward: &PendingForward) -> bool {
+        self.written_bytes.get() >= forward.end_offset
     }
 
-    /// Nothing has come on it that nobody waits for, and the node has not ended it.
-    fn sound(&self) -> bool {
+    /// Whether no unexpected input is pending and the node has not closed the connection.
+    fn is_clean(&self) -> bool {
         self.stream.borrow().as_ref().is_none_or(|stream| is_open_without_input(stream))
     }
 
-    /// Puts a forward on the connection: writes what it takes now, and queues the rest if there is room. Where it went
-    /// out in part only, the connection ends.
-    fn queue(&self, hit: u32, hop: u8, command: &Command, wait: Span) -> Result<(), EndReason> {
-        let mut out = self.out.borrow_mut();
-        command.pieces(wait, |pieces| {
+    /// Sends a forward: writes as much as the socket accepts now and queues the rest if there is room. A
+    /// forward written only in part closes the connection.
+    fn send(&self, hit: u32, hop: u8, command: &Command, wait: Span) -> Result<(), EndReason> {
+        let mut write_buffer = self.write_buffer.borrow_mut();
+        command.with_pieces(wait, |pieces| {
             let length: usize = pieces.iter().map(|p| p.len()).sum();
             let stream = self.stream.borrow();
-            let wrote = match stream.as_ref().filter(|_| out.is_empty()) {
+            let bytes_written = match stream.as_ref().filter(|_| write_buffer.is_empty()) {
                 Some(stream) => try_write_vectored(stream, pieces).map_err(|_| EndReason::Broken),
                 None => Ok(0),
             };
-            let wrote = wrote.inspect_err(|reason| self.finish(*reason))?;
-            self.written.set(self.written.get() + wrote as u64);
-            let put = |out: &mut Buffer| {
-                out.reserve(length - wrote)?;
-                let mut done = wrote;
+            let bytes_written = bytes_written.inspect_err(|reason| self.close(*reason))?;
+            self.written_bytes.set(self.written_bytes.get() + bytes_written as u64);
+            let fill = |write_buffer: &mut Buffer| {
+                write_buffer.reserve(length - bytes_written)?;
+                let mut to_skip = bytes_written;
                 for piece in pieces {
-                    let passed = done.min(piece.len());
-                    done -= passed;
-                    out.extend(&piece[passed..])?;
+                    let skip = to_skip.min(piece.len());
+                    to_skip -= skip;
+                    write_buffer.extend(&piece[skip..])?;
                 }
                 Ok(())
             };
-            put(&mut out).map_err(|_: BudgetExceeded| {
-                if wrote > 0 {
-                    self.finish(EndReason::NoSocket);
+            fill(&mut write_buffer).map_err(|_: BudgetExceeded| {
+                if bytes_written > 0 {
+                    self.close(EndReason::NoSocket);
                 }
                 EndReason::NoSocket
             })?;
-            self.queued.set(self.queued.get() + length as u64);
+            self.queued_bytes.set(self.queued_bytes.get() + length as u64);
             Ok(())
         })?;
-        let whole_at = self.queued.get();
-        self.flights.borrow_mut().push_back(Flight { hit, hop, whole_at, told: false });
-        if !out.is_empty() {
+        let end_offset = self.queued_bytes.get();
+        self.pending.borrow_mut().push_back(PendingForward { hit, hop, end_offset, reported: false });
+        if !write_buffer.is_empty() {
             self.signal.raise();
         }
         Ok(())
     }
 
-    /// Writes what can be written now.
+    /// Writes as much of the queue as the socket accepts now.
     fn flush(&self) -> Result<(), EndReason> {
         let stream = self.stream.borrow();
         let Some(stream) = stream.as_ref() else { return Ok(()) };
-        let mut out = self.out.borrow_mut();
-        let mut written = self.written.get();
-        let wrote = write_available(stream, &mut out, &mut written);
-        self.written.set(written);
-        wrote.map(|_| ()).map_err(|_| EndReason::Broken)
+        let mut write_buffer = self.write_buffer.borrow_mut();
+        let mut written_bytes = self.written_bytes.get();
+        let result = write_available(stream, &mut write_buffer, &mut written_bytes);
+        self.written_bytes.set(written_bytes);
+        result.map(|_| ()).map_err(|_| EndReason::Broken)
     }
 }
 
-struct Stand {
+struct NodeState {
     addr: SocketAddr,
-    /// When it was listed as gone, if it was.
-    gone: Option<Time>,
-    links: Vec<Rc<Link>>,
+    /// When the node was listed as removed; `None` while it is listed.
+    removed_at: Option<Time>,
+    connections: Vec<Rc<NodeConnection>>,
 }
 
-pub struct Nodes {
-    stands: Vec<Option<Stand>>,
+pub struct NodePool {
+    nodes: Vec<Option<NodeState>>,
     inbox: Rc<Inbox>,
-    tasks: Rc<LocalExecutor<'static>>,
+    executor: Rc<LocalExecutor<'static>>,
     clock: Clock,
-    up_within: Span,
-    idle: Span,
-    multiplex: usize,
-    most: usize,
+    connect_timeout: Span,
+    keepalive: Span,
+    max_pipelined: usize,
+    max_connections: usize,
     ledger: Ledger,
-    open: Rc<Cell<usize>>,
+    open_connections: Rc<Cell<usize>>,
     scratch: Rc<RefCell<Vec<u8>>>,
 }
 
-impl Nodes {
+impl NodePool {
     pub fn new(
-        inbox: Rc<Inbox>, tasks: Rc<LocalExecutor<'static>>, clock: Clock,
-        (up_within, idle, multiplex): (Span, Span, usize), most: usize, ledger: Ledger,
+        inbox: Rc<Inbox>, executor: Rc<LocalExecutor<'static>>, clock: Clock,
+        (connect_timeout, keepalive, max_pipelined): (Span, Span, usize), max_connections: usize,
+        ledger: Ledger,
     ) -> Self {
-        let scratch = Rc::new(RefCell::new(vec![0; VALUE]));
-        let (stands, open) = (Vec::new(), Rc::default());
-        Nodes { stands, inbox, tasks, clock, up_within, idle, multiplex, most, ledger, open, scratch }
+        let scratch = Rc::new(RefCell::new(vec![0; MAX_VALUE_BYTES]));
+        let (nodes, open_connections) = (Vec::new(), Rc::default());
+        NodePool {
+            nodes,
+            inbox,
+            executor,
+            clock,
+            connect_timeout,
+            keepalive,
+            max_pipelined,
+            max_connections,
+            ledger,
+            open_connections,
+            scratch,
+        }
     }
 
-    pub fn open(&self) -> usize {
-        self.open.get()
+    pub fn open_connections(&self) -> usize {
+        self.open_connections.get()
     }
 
-    /// Takes an entry of the list: what it says of a node ends connections that lead elsewhere now.
-    pub fn listed(&mut self, node: usize, addr: SocketAddr, readiness: Readiness, started: Time) {
-        if self.stands.len() <= node {
-            self.stands.resize_with(node + 1, || None);
+    /// Applies an entry of the node list; connections that no longer match it are closed or drained.
+    pub fn update_node(&mut self, node: usize, addr: SocketAddr, readiness: Readiness, started_at: Time) {
+        if self.nodes.len() <= node {
+            self.nodes.resize_with(node + 1, || None);
         }
-        let links = self.stands[node].take().map_or(Vec::new(), |was| {
-            if was.addr != addr {
-                was.links.iter().for_each(|l| Self::leave(l, EndReason::Withdrawn));
+        let connections = self.nodes[node].take().map_or(Vec::new(), |previous| {
+            if previous.addr != addr {
+                previous.connections.iter().for_each(|c| Self::drain(c, EndReason::Withdrawn));
                 Vec::new()
             } else {
-                was.links
+                previous.connections
             }
         });
-        for link in &links {
+        for connection in &connections {
             if readiness != Readiness::Ready {
-                Self::leave(link, EndReason::Withdrawn);
-            } else if link.opened < started {
-                // The process that it leads to is gone, even if its machine said nothing.
-                link.finish(EndReason::Restarted);
+                Self::drain(connection, EndReason::Withdrawn);
+            } else if connection.opened_at < started_at {
+                // The process it was opened to is gone, even if the host sent no reset.
+                connection.close(EndReason::Restarted);
             }
         }
-        let gone = (readiness == Readiness::Gone).then(|| self.clock.now());
-        self.stands[node] = Some(Stand { addr, gone, links });
+        let removed_at = (readiness == Readiness::Gone).then(|| self.clock.now());
+        self.nodes[node] = Some(NodeState { addr, removed_at, connections });
     }
 
-    /// Lets what was written be answered; nothing else goes out on it.
-    fn leave(link: &Link, reason: EndReason) {
-        link.retired.set(true);
-        if link.written.get() == 0 || link.idle() {
-            link.finish(reason);
+    /// Accepts no further forwards; replies to those already written are still awaited.
+    fn drain(connection: &NodeConnection, reason: EndReason) {
+        connection.draining.set(true);
+        if connection.written_bytes.get() == 0 || connection.is_idle() {
+            connection.close(reason);
         }
     }
 
-    /// A full list that left these nodes out: they are gone.
-    pub fn keep_only(&mut self, named: &HashSet<usize>) {
-        for (at, stand) in self.stands.iter_mut().enumerate() {
-            if let Some(stand) = stand.as_mut().filter(|_| !named.contains(&at)) {
-                stand.gone = stand.gone.or(Some(self.clock.now()));
-                stand.links.iter().for_each(|l| Self::leave(l, EndReason::Withdrawn));
+    /// Marks nodes left out of a full list as removed.
+    pub fn remove_unlisted(&mut self, listed: &HashSet<usize>) {
+        for (number, state) in self.nodes.iter_mut().enumerate() {
+            if let Some(state) = state.as_mut().filter(|_| !listed.contains(&number)) {
+                state.removed_at = state.removed_at.or(Some(self.clock.now()));
+                state.connections.iter().for_each(|c| Self::drain(c, EndReason::Withdrawn));
             }
         }
     }
 
-    /// Where a node listens, as listed.
+    /// Listed address of a node; an unspecified address for an unknown one.
     pub fn addr(&self, node: usize) -> SocketAddr {
-        let nowhere = SocketAddr::from(([0, 0, 0, 0], 0));
-        self.stands.get(node).and_then(Option::as_ref).map_or(nowhere, |s| s.addr)
+        let unspecified = SocketAddr::from(([0, 0, 0, 0], 0));
+        self.nodes.get(node).and_then(Option::as_ref).map_or(unspecified, |s| s.addr)
     }
 
-    /// Sends a hit's command to a node, stating `wait`.
+    /// Sends a hit's command to a node, with `wait` as its stated wait.
     pub fn forward(
         &mut self, node: usize, hit: u32, hop: u8, command: &Command, wait: Span,
-    ) -> Result<Rc<Link>, EndReason> {
+    ) -> Result<Rc<NodeConnection>, EndReason> {
         let now = self.clock.now();
-        let stand = self.stands.get_mut(node).and_then(Option::as_mut).ok_or(EndReason::NoSuchNode)?;
-        let addr = stand.addr;
-        stand.links.retain(|l| !l.retired.get());
-        // The one used last is the least likely to be closed by the node at this moment.
-        while let Some(link) =
-            stand.links.iter().filter(|l| l.rested(now) && !l.retired.get()).max_by_key(|l| l.used.get())
+        let state = self.nodes.get_mut(node).and_then(Option::as_mut).ok_or(EndReason::NoSuchNode)?;
+        let addr = state.addr;
+        state.connections.retain(|c| !c.draining.get());
+        // The most recently used connection is the least likely to be closed by the node right now.
+        while let Some(connection) = state
+            .connections
+            .iter()
+            .filter(|c| c.is_reusable(now) && !c.draining.get())
+            .max_by_key(|c| c.last_used.get())
         {
-            let link = link.clone();
-            if link.sound() {
-                link.used.set(now);
-                link.queue(hit, hop, command, wait)?;
-                return Ok(link);
+            let connection = connection.clone();
+            if connection.is_clean() {
+                connection.last_used.set(now);
+                connection.send(hit, hop, command, wait)?;
+                return Ok(connection);
             }
-            link.finish(EndReason::Closed);
+            connection.close(EndReason::Closed);
         }
-        // A storm of new connections costs node and marshal more than waiting behind another forward: one at a
-        // time comes up to a node.
-        let coming = stand.links.iter().any(|l| !l.retired.get() && l.stream.borrow().is_none());
-        if coming || self.open.get() >= self.most {
-            let shared = stand.links.iter().filter(|l| !l.retired.get() && !l.idle());
-            let shared = shared.filter(|l| l.flights.borrow().len() < self.multiplex);
-            if let Some(link) = shared.min_by_key(|l| l.flights.borrow().len()).cloned() {
-                // What one node does not read must not take the room of what goes to the others.
-                let queued: usize = stand.links.iter().map(|l| l.out.borrow().charged_bytes()).sum();
-                if queued > self.ledger.cap(Purpose::NodeConnections) / NODE_PART {
+        // Only one connection to a node is established at a time: a burst of new connections costs the node
+        // and the marshal more than pipelining behind another forward.
+        let connecting = state.connections.iter().any(|c| !c.draining.get() && c.stream.borrow().is_none());
+        if connecting || self.open_connections.get() >= self.max_connections {
+            let shared = state.connections.iter().filter(|c| !c.draining.get() && !c.is_idle());
+            let shared = shared.filter(|c| c.pending.borrow().len() < self.max_pipelined);
+            if let Some(connection) = shared.min_by_key(|c| c.pending.borrow().len()).cloned() {
+                // A node that does not read must not use up the queue memory shared with the other nodes.
+                let queued_bytes: usize =
+                    state.connections.iter().map(|c| c.write_buffer.borrow().charged_bytes()).sum();
+                if queued_bytes > self.ledger.cap(Purpose::NodeConnections) / NODE_QUEUE_DIVISOR {
                     return Err(EndReason::NoSocket);
                 }
-                link.queue(hit, hop, command, wait)?;
-                return Ok(link);
+                connection.send(hit, hop, command, wait)?;
+                return Ok(connection);
             }
-            // This node has none to share: another's idle one goes for it.
-            let all = self.stands.iter().flatten().flat_map(|s| &s.links);
-            let idle = all.filter(|l| l.idle() && !l.retired.get()).min_by_key(|l| l.used.get());
-            idle.ok_or(EndReason::NoSocket)?.finish(EndReason::Idle);
+            // No connection to this node can be shared: an idle connection to another node is closed instead.
+            let all = self.nodes.iter().flatten().flat_map(|s| &s.connections);
+            let idle = all.filter(|c| c.is_idle() && !c.draining.get()).min_by_key(|c| c.last_used.get());
+            idle.ok_or(EndReason::NoSocket)?.close(EndReason::Idle);
         }
-        let record = self
+        let charge = self
             .ledger
             .charge(Purpose::NodeConnections, NODE_CONNECTION_BYTES)
             .map_err(|_| EndReason::NoSocket)?;
-        let link = Rc::new(Link {
-            opened: now,
+        let connection = Rc::new(NodeConnection {
+            opened_at: now,
             stream: RefCell::default(),
-            flights: RefCell::default(),
-            out: RefCell::new(Buffer::new(&self.ledger, Purpose::NodeConnections)),
-            queued: Cell::new(0),
-            written: Cell::new(0),
-            retired: Cell::new(false),
-            end: Cell::new(None),
-            used: Cell::new(now),
+            pending: RefCell::default(),
+            write_buffer: RefCell::new(Buffer::new(&self.ledger, Purpose::NodeConnections)),
+            queued_bytes: Cell::new(0),
+            written_bytes: Cell::new(0),
+            draining: Cell::new(false),
+            close_reason: Cell::new(None),
+            last_used: Cell::new(now),
             signal: Signal::default(),
-            _record: record,
+            _charge: charge,
         });
-        link.queue(hit, hop, command, wait)?;
-        let stand = self.stands.get_mut(node).and_then(Option::as_mut).ok_or(EndReason::NoSuchNode)?;
-        stand.links.push(link.clone());
-        self.open.set(self.open.get() + 1);
-        let carrier = Carrier {
-            link: link.clone(),
+        connection.send(hit, hop, command, wait)?;
+        let state = self.nodes.get_mut(node).and_then(Option::as_mut).ok_or(EndReason::NoSuchNode)?;
+        state.connections.push(connection.clone());
+        self.open_connections.set(self.open_connections.get() + 1);
+        let task = ConnectionTask {
+            connection: connection.clone(),
             inbox: self.inbox.clone(),
             clock: self.clock,
             ledger: self.ledger.clone(),
-            open: self.open.clone(),
+            open_connections: self.open_connections.clone(),
             scratch: self.scratch.clone(),
-            part_within: duration(self.up_within),
+            reply_timeout: duration(self.connect_timeout),
         };
-        self.tasks.spawn(carrier.run(addr, self.up_within)).detach();
-        Ok(link)
+        self.executor.spawn(task.run(addr, self.connect_timeout)).detach();
+        Ok(connection)
     }
 
-    /// Stops waiting for a forward. Its connection is closed, unless others' forwards are on it too.
-    pub fn give_up(&self, link: &Link, hit: u32, hop: u8, reason: EndReason) {
-        let mut flights = link.flights.borrow_mut();
-        let Some(flight) = flights.iter_mut().find(|f| (f.hit, f.hop) == (hit, hop) && !f.told) else {
+    /// Stops waiting for a forward. Its connection takes no further forwards, and is closed unless other
+    /// forwards are still pending on it.
+    pub fn abort_forward(&self, connection: &NodeConnection, hit: u32, hop: u8, reason: EndReason) {
+        let mut pending = connection.pending.borrow_mut();
+        let Some(forward) = pending.iter_mut().find(|f| (f.hit, f.hop) == (hit, hop) && !f.reported) else {
             return;
         };
-        flight.told = true;
-        let sent = link.sent(flight);
-        let alone = flights.iter().all(|f| f.told);
-        drop(flights);
-        link.retired.set(true);
-        if alone {
-            link.finish(reason);
+        forward.reported = true;
+        let sent = connection.is_written(forward);
+        let all_reported = pending.iter().all(|f| f.reported);
+        drop(pending);
+        connection.draining.set(true);
+        if all_reported {
+            connection.close(reason);
         }
         self.inbox.push_forward_end(hit, hop, reason, sent);
     }
 
-    /// Closes what has stood idle for long; the node would, and a hit might be lost on the way. Forgets nodes
-    /// that are gone for as long, or at all where room is `short`, and returns their numbers.
-    pub fn sweep(&mut self, short: bool) -> Vec<usize> {
+    /// Closes connections idle for too long: otherwise the node would, and a hit sent at that moment could be
+    /// lost. Drops nodes removed for the keepalive time (with `drop_removed`, all removed nodes) and returns
+    /// their numbers.
+    pub fn sweep(&mut self, drop_removed: bool) -> Vec<usize> {
         let now = self.clock.now();
-        let pressed = self.ledger.reclaim_action(Purpose::NodeConnections) == ReclaimAction::CloseIdle;
-        let rest = self.idle * RETIRE * if pressed { PRESSED } else { 1.0 };
-        for stand in self.stands.iter_mut().flatten() {
-            stand.links.retain(|l| !l.retired.get());
-            for link in stand.links.iter().filter(|l| l.idle() && now - l.used.get() >= rest) {
-                if pressed {
+        let under_pressure = self.ledger.reclaim_action(Purpose::NodeConnections) == ReclaimAction::CloseIdle;
+        let max_idle =
+            self.keepalive * IDLE_CLOSE_FRACTION * if under_pressure { PRESSURE_IDLE_FACTOR } else { 1.0 };
+        for state in self.nodes.iter_mut().flatten() {
+            state.connections.retain(|c| !c.draining.get());
+            for connection in
+                state.connections.iter().filter(|c| c.is_idle() && now - c.last_used.get() >= max_idle)
+            {
+                if under_pressure {
                     self.ledger.record_reclaimed(Purpose::NodeConnections, NODE_CONNECTION_BYTES);
                 }
-                link.finish(EndReason::Idle);
+                connection.close(EndReason::Idle);
             }
         }
-        let patience = if short { Span::ZERO } else { self.idle };
-        let over = |s: &Stand| s.links.is_empty() && s.gone.is_some_and(|at| now - at >= patience);
-        let over = |(at, stand): (usize, &mut Option<Stand>)| stand.take_if(|stand| over(stand)).map(|_| at);
-        self.stands.iter_mut().enumerate().filter_map(over).collect()
+        let retention = if drop_removed { Span::ZERO } else { self.keepalive };
+        let expired =
+            |s: &NodeState| s.connections.is_empty() && s.removed_at.is_some_and(|at| now - at >= retention);
+        let take_expired = |(number, state): (usize, &mut Option<NodeState>)| {
+            state.take_if(|state| expired(state)).map(|_| number)
+        };
+        self.nodes.iter_mut().enumerate().filter_map(take_expired).collect()
     }
 }
 
-/// Whether an error line has one of the protocol's forms: `ERR failed`, `BUSY` or `BUSY MS`, each with a load report
-/// behind it or none, or `SYNTAX`. A line that lost its end runs on into the next answer; taken for an error, it would hide
-/// that one, and all answers behind it would go to the wrong hits. May hurt where nodes word their errors in other ways:
-/// each costs a connection, and counts as one that broke.
-fn known(line: &[u8]) -> bool {
+/// Whether an error line has one of the protocol's forms: `ERR failed`, `BUSY` or `BUSY MS`, each with an
+/// optional load report, or `SYNTAX`. A line that lost its terminator runs on into the next reply; taken for
+/// an error, it would hide that reply, and all later replies would go to the wrong hits. Nodes that word
+/// their errors differently are harmed by this check: each such error costs a connection, and counts as a
+/// failed one.
+fn is_known_error(line: &[u8]) -> bool {
     let mut words = line.split(|b| *b == b' ');
     let head = match words.next() {
         Some(b"ERR") => words.next() == Some(b"failed"),
@@ -359,133 +389,133 @@
         _ => false,
     };
     // `inflight=7,queue=2,util=0.61`, or a number.
-    let plain = |b: &u8| b.is_ascii_alphanumeric() || b"._-".contains(b);
-    let item = |item: &[u8]| {
+    let is_plain = |b: &u8| b.is_ascii_alphanumeric() || b"._-".contains(b);
+    let is_item = |item: &[u8]| {
         let mut sides = item.split(|b| *b == b'=');
-        sides.clone().count() <= 2 && sides.all(|side| !side.is_empty() && side.iter().all(plain))
+        sides.clone().count() <= 2 && sides.all(|side| !side.is_empty() && side.iter().all(is_plain))
     };
-    let figures = |word: &[u8]| word.contains(&b'=') || word.iter().all(u8::is_ascii_digit);
-    head && words.all(|word| figures(word) && word.split(|b| *b == b',').all(item))
+    let is_number_or_load = |word: &[u8]| word.contains(&b'=') || word.iter().all(u8::is_ascii_digit);
+    head && words.all(|word| is_number_or_load(word) && word.split(|b| *b == b',').all(is_item))
 }
 
 /// The task of one connection.
-struct Carrier {
-    link: Rc<Link>,
+struct ConnectionTask {
+    connection: Rc<NodeConnection>,
     inbox: Rc<Inbox>,
     clock: Clock,
     ledger: Ledger,
-    open: Rc<Cell<usize>>,
+    open_connections: Rc<Cell<usize>>,
     scratch: Rc<RefCell<Vec<u8>>>,
-    /// Within this the rest of an answer comes: as long as a connection may take to come up.
-    part_within: Duration,
+    /// Time limit for the rest of a partly received reply; equal to the connect timeout.
+    reply_timeout: Duration,
 }
 
-impl Carrier {
-    async fn run(self, addr: SocketAddr, up_within: Span) {
-        let reason = match self.come_up(addr, up_within).await {
-            Ok(()) => self.carry().await,
+impl ConnectionTask {
+    async fn run(self, addr: SocketAddr, connect_timeout: Span) {
+        let reason = match self.establish(addr, connect_timeout).await {
+            Ok(()) => self.exchange().await,
             Err(reason) => reason,
         };
-        self.link.finish(reason);
-        self.link.stream.take();
-        self.open.set(self.open.get() - 1);
-        let flights = std::mem::take(&mut *self.link.flights.borrow_mut());
-        if !flights.is_empty() {
-            debug!("connection to {addr} ended with {} forwards: {reason:?}", flights.len());
+        self.connection.close(reason);
+        self.connection.stream.take();
+        self.open_connections.set(self.open_connections.get() - 1);
+        let pending = std::mem::take(&mut *self.connection.pending.borrow_mut());
+        if !pending.is_empty() {
+            debug!("connection to {addr} ended with {} forwards: {reason:?}", pending.len());
         }
-        for flight in flights.into_iter().filter(|f| !f.told) {
-            let sent = self.link.sent(&flight);
-            self.inbox.push_forward_end(flight.hit, flight.hop, reason, sent);
+        for forward in pending.into_iter().filter(|f| !f.reported) {
+            let sent = self.connection.is_written(&forward);
+            self.inbox.push_forward_end(forward.hit, forward.hop, reason, sent);
         }
     }
 
-    async fn come_up(&self, addr: SocketAddr, up_within: Span) -> Result<(), EndReason> {
-        let asked = async {
+    async fn establish(&self, addr: SocketAddr, connect_timeout: Span) -> Result<(), EndReason> {
+        let closed = async {
             loop {
-                self.link.signal.wait().await;
-                if let Some(reason) = self.link.end.get() {
+                self.connection.signal.wait().await;
+                if let Some(reason) = self.connection.close_reason.get() {
                     return Err(reason);
                 }
             }
         };
-        let up = async {
-            let stream = connect(addr, duration(up_within)).await;
+        let connected = async {
+            let stream = connect(addr, duration(connect_timeout)).await;
             stream.map_err(|e| {
-                info!("connection to {addr} did not come up: {e}");
+                info!("connection to {addr} failed: {e}");
                 EndReason::from_connect_error(&e)
             })
         };
-        let stream = futures_lite::future::or(asked, up).await?;
-        *self.link.stream.borrow_mut() = Some(Rc::new(stream));
+        let stream = futures_lite::future::or(closed, connected).await?;
+        *self.connection.stream.borrow_mut() = Some(Rc::new(stream));
         Ok(())
     }
 
-    async fn carry(&self) -> EndReason {
-        let link = &self.link;
-        let Some(stream) = link.stream.borrow().clone() else { return EndReason::Broken };
-        let mut held = Buffer::with_prepaid(&self.ledger, Purpose::NodeAnswers);
-        let mut scanner = Scanner::new(BOUNDS);
-        // When the answer began that is not whole yet.
-        let mut begun = None;
+    async fn exchange(&self) -> EndReason {
+        let connection = &self.connection;
+        let Some(stream) = connection.stream.borrow().clone() else { return EndReason::Broken };
+        let mut received = Buffer::with_prepaid(&self.ledger, Purpose::NodeAnswers);
+        let mut scanner = Scanner::new(REPLY_LIMITS);
+        // Arrival time of the first bytes of the incomplete reply.
+        let mut reply_started = None;
         loop {
-            if let Some(reason) = link.end.get() {
+            if let Some(reason) = connection.close_reason.get() {
                 return reason;
             }
-            if let Err(reason) = link.flush() {
+            if let Err(reason) = connection.flush() {
                 return reason;
             }
-            let more = match scanner.required_length() {
-                None if held.spare_capacity() > 0 => 0,
+            let needed = match scanner.required_length() {
+                None if received.spare_capacity() > 0 => 0,
                 None => MIN_CAPACITY_BYTES,
-                Some((end, _)) => end.saturating_sub(held.len()),
+                Some((length, _)) => length.saturating_sub(received.len()),
             };
-            // Without room the answer stays where it is, until there is some or its time is over.
-            let room = held.reserve(more).is_ok();
-            let write = !link.out.borrow().is_empty();
-            let over = begun.map(|at| at + self.part_within);
-            let again = (!room).then(|| Instant::now() + AGAIN);
-            let due = over.into_iter().chain(again).min();
-            match wait_for_wakeup(&stream, room, write, &link.signal, due).await {
+            // Without memory the reply stays in the socket buffer until there is some or the reply times out.
+            let has_room = received.reserve(needed).is_ok();
+            let wants_write = !connection.write_buffer.borrow().is_empty();
+            let reply_deadline = reply_started.map(|at| at + self.reply_timeout);
+            let retry_at = (!has_room).then(|| Instant::now() + MEMORY_RETRY_INTERVAL);
+            let deadline = reply_deadline.into_iter().chain(retry_at).min();
+            match wait_for_wakeup(&stream, has_room, wants_write, &connection.signal, deadline).await {
                 Wakeup::Readable => {}
-                // A length that doesn't fit, or a line without an end: the rest will never come.
-                Wakeup::DeadlineReached if over.is_some_and(|at| at <= Instant::now()) => {
+                // The length is too large or the line has no terminator: the rest will never come.
+                Wakeup::DeadlineReached if reply_deadline.is_some_and(|at| at <= Instant::now()) => {
                     return EndReason::Garbled;
                 }
                 _ => continue,
             }
             {
                 let mut scratch = self.scratch.borrow_mut();
-                let most = held.spare_capacity().min(VALUE);
-                match read_available(&stream, &mut scratch[..most]) {
+                let max_read = received.spare_capacity().min(MAX_VALUE_BYTES);
+                match read_available(&stream, &mut scratch[..max_read]) {
                     Ok(Some([])) => return EndReason::Closed,
-                    // There is room for all that was read.
-                    Ok(Some(bytes)) if held.extend(bytes).is_err() => return EndReason::Garbled,
+                    // The read is limited to the reserved capacity, so this does not fail.
+                    Ok(Some(bytes)) if received.extend(bytes).is_err() => return EndReason::Garbled,
                     Ok(Some(_)) => {}
                     Ok(None) => continue,
                     Err(_) => return EndReason::Broken,
                 }
             }
-            if let Err(why) = self.take_answers(&mut scanner, &mut held) {
-                warn!("a node's answer was no answer: {why}");
+            if let Err(error) = self.process_replies(&mut scanner, &mut received) {
+                warn!("node sent an invalid reply: {error}");
                 return EndReason::Garbled;
             }
-            begun = (!held.is_empty()).then(|| begun.unwrap_or_else(Instant::now));
-            if link.retired.get() && link.idle() {
+            reply_started = (!received.is_empty()).then(|| reply_started.unwrap_or_else(Instant::now));
+            if connection.draining.get() && connection.is_idle() {
                 return EndReason::Idle;
             }
         }
     }
 
-    fn take_answers(&self, scanner: &mut Scanner, held: &mut Buffer) -> Result<(), &'static str> {
-        while !held.is_empty() {
-            let bytes = held.as_slice();
+    fn process_replies(&self, scanner: &mut Scanner, received: &mut Buffer) -> Result<(), &'static str> {
+        while !received.is_empty() {
+            let bytes = received.as_slice();
             let Some(length) = scanner.scan(bytes)? else { return Ok(()) };
             let first = scanner.elements.first().ok_or("empty array")?;
             let reason = match (scanner.is_array, first.kind) {
-                // Load report and null that may follow are read past.
+                // The load report and the null that may follow are skipped.
                 (true, ElementKind::BulkString) => EndReason::Served,
-                (false, ElementKind::Error) if !known(&bytes[first.payload.clone()]) => {
-                    return Err("an error of no known form");
+                (false, ElementKind::Error) if !is_known_error(&bytes[first.payload.clone()]) => {
+                    return Err("unrecognized error line");
                 }
                 (false, ElementKind::Error) if bytes[first.payload.clone()].starts_with(b"BUSY") => {
                     EndReason::SaidBusy
@@ -494,31 +524,32 @@
                 _ => return Err("neither a value nor an error"),
             };
             if reason == EndReason::SaidFailed && bytes[first.payload.clone()].starts_with(b"SYNTAX") {
-                warn!("a node found a forward malformed");
+                warn!("node rejected a forward as malformed");
             }
-            let place = first.encoded.clone();
-            let mut flights = self.link.flights.borrow_mut();
-            let flight = flights.pop_front_if(|f| self.link.sent(f)).ok_or("no forward was out")?;
-            drop(flights);
-            let wanted = !flight.told && reason == EndReason::Served;
-            let value = wanted.then(|| held.take_block(length, Purpose::NodeAnswers));
+            let encoded_range = first.encoded.clone();
+            let mut pending = self.connection.pending.borrow_mut();
+            let forward =
+                pending.pop_front_if(|f| self.connection.is_written(f)).ok_or("no forward is pending")?;
+            drop(pending);
+            let keep_value = !forward.reported && reason == EndReason::Served;
+            let value = keep_value.then(|| received.take_block(length, Purpose::NodeAnswers));
             if !matches!(value, Some(Ok(_))) {
-                held.consume(length, MIN_CAPACITY_BYTES);
+                received.consume(length, MIN_CAPACITY_BYTES);
             }
-            if !flight.told {
-                let (hit, hop, sent) = (flight.hit, flight.hop, true);
+            if !forward.reported {
+                let (hit, hop, sent) = (forward.hit, forward.hop, true);
                 let (reason, value) = match value {
                     None => (reason, None),
                     Some(Ok(mut block)) => {
-                        block.narrow(place);
+                        block.narrow(encoded_range);
                         (reason, Some(block))
                     }
-                    // It ran, and there is no room for what it said.
+                    // The hit ran, but there is no memory for its value.
                     Some(Err(_)) => (EndReason::Garbled, None),
                 };
                 self.inbox.push_hit_event(HitEvent::ForwardEnded { hit, hop, reason, sent, value });
             }
-            self.link.used.set(self.clock.now());
+            self.connection.last_used.set(self.clock.now());
             scanner.reset();
         }
         Ok(())
--- a/crates/marshal/src/serve.rs
+++ b/crates/marshal/src/serve.rs
@@ -1,13 +1,13 @@
-//! One marshal from its start to its end: parts are made and joined here.
+//! Start-up and shutdown of one marshal: creates its parts and connects them.
 
 use crate::Files;
-use crate::client::Crowd;
-use crate::clients::Clients;
+use crate::client::ClientRegistry;
+use crate::clients::ClientServer;
 use crate::clock::{Clock, duration};
-use crate::core::{Core, Doors};
+use crate::core::{Core, MarshalHost};
 use crate::discovery::{Discovery, List, Places};
 use crate::inbox::{ControlEvent, Inbox, NodeEntry};
-use crate::nodes::Nodes;
+use crate::nodes::NodePool;
 use crate::platform::{self, Platform};
 use crate::reactor::{self, Async, Timer};
 use crate::{logger, memory, startup};
@@ -29,39 +29,41 @@
 use stonescale_operator::{InForce, Operator};
 use tracing::{error, info, warn};
 
-/// After SIGTERM new connections come for 0.4 s at most, by the protocol page; for so long all goes on.
-const STILL_COMING: Duration = Duration::from_millis(550);
-/// How often it is looked whether a level of memory changed.
-const CHANGES: Duration = Duration::from_millis(250);
-/// How often the way out looks whether all clients have left.
-const LOOK: Duration = Duration::from_millis(10);
+/// After SIGTERM clients may still connect for 0.4 s by the protocol page; serving continues unchanged for
+/// this long.
+const SHUTDOWN_ACCEPT_PERIOD: Duration = Duration::from_millis(550);
+/// Interval of checks for changed memory levels.
+const LEVEL_CHECK_INTERVAL: Duration = Duration::from_millis(250);
+/// Interval of checks during shutdown whether all clients have disconnected.
+const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Both files as they were read.
-struct Read {
+/// Contents of both configuration files.
+struct LoadedFiles {
     root: Value,
     operator: Operator,
     in_force: Vec<InForce>,
     plan: Plan,
-    /// What the configuration holds, in a line.
-    said: String,
+    /// Summary of the configuration in one line.
+    summary: String,
 }
 
-impl Read {
-    fn of(config: &Path, operator: Option<&Path>) -> Result<Self, String> {
+impl LoadedFiles {
+    fn load(config: &Path, operator: Option<&Path>) -> Result<Self, String> {
         let (operator, in_force) = Operator::read(operator)?;
         let root = startup::read(config)?;
-        let (said, plan) = look_through(&root, &operator)?;
-        Ok(Read { root, operator, in_force, plan, said })
+        let (summary, plan) = validate(&root, &operator)?;
+        Ok(LoadedFiles { root, operator, in_force, plan, summary })
     }
 }
 
-/// Checks both files as far as that goes without sockets; says what they hold.
+/// Checks both files as far as possible without opening sockets; returns a summary and the operator's
+/// settings in force.
 pub fn check(files: &Files) -> Result<(String, Vec<InForce>), String> {
-    let read = Read::of(&startup::place(files.config.clone())?, files.operator.as_deref())?;
-    Ok((read.said, read.in_force))
+    let loaded = LoadedFiles::load(&startup::place(files.config.clone())?, files.operator.as_deref())?;
+    Ok((loaded.summary, loaded.in_force))
 }
 
-fn look_through(root: &Value, operator: &Operator) -> Result<(String, Plan), String> {
+fn validate(root: &Value, operator: &Operator) -> Result<(String, Plan), String> {
     let (name, listen, discovery) = startup::identity(root)?;
     startup::seed(root)?;
     let ((clients, _), links, memory) = startup::limits(root)?;
@@ -69,13 +71,13 @@
     platform::stage(news).map_err(|e| format!("platform.news: {e}"))?;
     let settings = startup::settings(root)?;
     let names = stonescale_site::names(settings).map_err(|e| format!("settings.{e}"))?;
-    let (_, _, entries) = known(root, &Places::of(&names))?;
+    let (_, _, entries) = known_nodes(root, &Places::of(&names))?;
     let plan = startup::plan(root, names.groups.len(), &operator.memory.shares)?;
     stonescale_site::links(settings).map_err(|e| format!("settings.{e}"))?;
     stonescale_site::outside(settings).map_err(|e| format!("settings.{e}"))?;
-    stonescale_site::marshal(settings, 0, Clock::start().now(), &mut Nobody)
+    stonescale_site::marshal(settings, 0, Clock::start().now(), &mut NullHost)
         .map_err(|e| format!("settings.{e}"))?;
-    let said = format!(
+    let summary = format!(
         "{name} at {listen}; discovery {discovery}, platform {platform}; {} path groups, {} nodes known; \
          at most {clients} client and {links} node connections; {} of {} KiB by purpose, {} KiB for hits of one group",
         names.groups.len(),
@@ -84,208 +86,224 @@
         memory >> 10,
         plan.account(Purpose::in_flight(0)).cap >> 10,
     );
-    Ok((said, plan))
+    Ok((summary, plan))
 }
 
-/// The node list that the configuration holds.
-fn known(root: &Value, places: &Places) -> Result<(u64, bool, Vec<NodeEntry>), String> {
+/// Reads the node list in the configuration.
+fn known_nodes(root: &Value, places: &Places) -> Result<(u64, bool, Vec<NodeEntry>), String> {
     let list = List::deserialize(startup::known(root)?).map_err(|e| format!("known: {e}"))?;
     places.list(list).map_err(|e| format!("known: {e}"))
 }
 
-/// Serves until SIGTERM, then until all that was taken is answered. On SIGHUP both files are read again.
+/// Serves until SIGTERM or SIGINT, then until every accepted hit is answered. On SIGHUP both files are read
+/// again.
 pub fn serve(files: Files) -> Result<(), String> {
-    // Before anything else: a signal that nobody waits for would end the program.
-    let ends = signals(&[SIGTERM, SIGINT]).map_err(|e| format!("signals: {e}"))?;
-    let rereads = signals(&[SIGHUP]).map_err(|e| format!("signals: {e}"))?;
-    let asked = signals(&[SIGUSR1]).map_err(|e| format!("signals: {e}"))?;
+    // Registered first: a signal without a handler would end the process.
+    let shutdown_signals = register_signals(&[SIGTERM, SIGINT]).map_err(|e| format!("signals: {e}"))?;
+    let reload_signals = register_signals(&[SIGHUP]).map_err(|e| format!("signals: {e}"))?;
+    let report_signals = register_signals(&[SIGUSR1]).map_err(|e| format!("signals: {e}"))?;
     let config = startup::place(files.config)?;
-    let Read { mut root, operator, plan, said, .. } = Read::of(&config, files.operator.as_deref())?;
-    let lines = operator.log.lines_per_second;
-    let log = logger::start(files.log, operator.log.format, lines, plan.account(Purpose::Log).reserve);
-    info!("{said}");
-    let (_, listen, there) = startup::identity(&root)?;
-    let (most_clients, most_links, _) = startup::limits(&root)?;
-    let (platform, news) = startup::platform(&root)?;
-    let news = platform::stage(news)?;
+    let LoadedFiles { mut root, operator, plan, summary, .. } =
+        LoadedFiles::load(&config, files.operator.as_deref())?;
+    let lines_per_second = operator.log.lines_per_second;
+    let log =
+        logger::start(files.log, operator.log.format, lines_per_second, plan.account(Purpose::Log).reserve);
+    info!("{summary}");
+    let (_, listen, discovery_addr) = startup::identity(&root)?;
+    let (max_clients, max_node_connections, _) = startup::limits(&root)?;
+    let (platform_addr, news) = startup::platform(&root)?;
+    let newest_build = platform::stage(news)?;
     let seed = startup::seed(&root)?;
     let names = stonescale_site::names(startup::settings(&root)?)?;
     let places = Rc::new(Places::of(&names));
-    let (version, _, entries) = known(&root, &places)?;
-    // Only what is compared when it is read again is kept: a list of thousands of nodes is not.
+    let (version, _, entries) = known_nodes(&root, &places)?;
+    // Keep only what a reload compares; a node list may have thousands of entries.
     startup::forget_news(&mut root);
     let settings = startup::settings(&root)?;
-    let (watched, call_timeout) = stonescale_site::outside(settings)?;
+    let (list_by_request, call_timeout) = stonescale_site::outside(settings)?;
     let ledger = Ledger::new(&plan);
 
     let listener = TcpListener::bind(listen).and_then(|l| l.set_nonblocking(true).map(|()| l));
-    // What is taken on it inherits this.
+    // Accepted sockets inherit these options.
     listener.iter().for_each(reactor::quicken);
     let listener = listener.and_then(Async::new).map_err(|e| format!("listen: {listen}: {e}"))?;
     info!("listening at {}", listener.get_ref().local_addr().unwrap_or(listen));
     let (clock, inbox) = (Clock::start(), Rc::new(Inbox::default()));
-    let tasks = Rc::new(LocalExecutor::new());
-    let nodes = Nodes::new(
+    let executor = Rc::new(LocalExecutor::new());
+    let nodes = NodePool::new(
         inbox.clone(),
-        tasks.clone(),
+        executor.clone(),
         clock,
         stonescale_site::links(settings)?,
-        most_links,
+        max_node_connections,
+        ledger.clone(),
+    );
+    let discovery = Discovery::new(
+        discovery_addr,
+        places,
+        inbox.clone(),
+        executor.clone(),
+        Some(version),
         ledger.clone(),
     );
-    let discovery =
-        Discovery::new(there, places, inbox.clone(), tasks.clone(), Some(version), ledger.clone());
     let groups: Vec<String> = names.groups.iter().map(|g| g.name.clone()).collect();
-    let there = (there, platform);
+    let addresses = (discovery_addr, platform_addr);
     let platform =
-        Platform::new(inbox.clone(), tasks.clone(), call_timeout, groups.clone(), seed, ledger.clone());
-    platform.at(there.1);
+        Platform::new(inbox.clone(), executor.clone(), call_timeout, groups.clone(), seed, ledger.clone());
+    platform.at(addresses.1);
 
-    let mut doors = Doors::new(clock, ledger.clone(), inbox.clone(), nodes, discovery, platform);
-    let marshal = stonescale_site::marshal(settings, seed, clock.now(), &mut doors)?;
-    if !watched {
-        // Where changes come without being asked for, that is the watch.
-        doors.watch(true);
+    let mut host = MarshalHost::new(clock, ledger.clone(), inbox.clone(), nodes, discovery, platform);
+    let marshal = stonescale_site::marshal(settings, seed, clock.now(), &mut host)?;
+    if !list_by_request {
+        // Where list changes are pushed without a request, the watch receives them.
+        host.watch(true);
     }
-    let mut core = Core::new(marshal, doors);
-    core.staged(news, None);
-    core.listed(ListUpdate::Cached, entries);
-    tasks.spawn(core.run()).detach();
+    let mut core = Core::new(marshal, host);
+    core.apply_stage(newest_build, None);
+    core.apply_node_list(ListUpdate::Cached, entries);
+    executor.spawn(core.run()).detach();
     let report_every = Rc::new(Cell::new(operator.memory.report_every));
     let log = Rc::new(log);
-    let running = Running {
+    let targets = ReloadTargets {
         log: log.clone(),
         ledger: ledger.clone(),
         report_every: report_every.clone(),
         inbox: inbox.clone(),
     };
     let files = (config, files.operator);
-    tasks.spawn(reread(rereads, files, (root, operator), there, running)).detach();
+    executor.spawn(reload_on_signal(reload_signals, files, (root, operator), addresses, targets)).detach();
 
-    let clients = Clients::new(inbox, Crowd::new(ledger.clone(), clock), names, most_clients);
-    tasks.spawn(tell_memory(asked, (ledger, log), groups, clients.clone(), report_every)).detach();
-    tasks.spawn(clients.clone().ease()).detach();
+    let clients = ClientServer::new(inbox, ClientRegistry::new(ledger.clone(), clock), names, max_clients);
+    executor
+        .spawn(report_memory(report_signals, (ledger, log), groups, clients.clone(), report_every))
+        .detach();
+    executor.spawn(clients.clone().reclaim_periodically()).detach();
     let listener = Rc::new(listener);
-    let accepting = tasks.spawn(clients.clone().accept(listener, tasks.clone()));
-    let until_the_end = async move {
-        told(&ends).await;
-        info!("told to end: serving on for {STILL_COMING:?}, then until all is answered");
-        Timer::after(STILL_COMING).await;
+    let accepting = executor.spawn(clients.clone().accept(listener, executor.clone()));
+    let until_shutdown = async move {
+        wait_for_signal(&shutdown_signals).await;
+        info!("told to end: serving on for {SHUTDOWN_ACCEPT_PERIOD:?}, then until all is answered");
+        Timer::after(SHUTDOWN_ACCEPT_PERIOD).await;
         accepting.cancel().await;
-        clients.leave();
-        let left = async {
+        clients.close_when_idle();
+        let all_closed = async {
             while clients.count() > 0 {
-                Timer::after(LOOK).await;
+                Timer::after(SHUTDOWN_POLL_INTERVAL).await;
             }
         };
-        or(left, told(&ends)).await;
+        or(all_closed, wait_for_signal(&shutdown_signals)).await;
         info!("ended, {} client connections left", clients.count());
     };
-    reactor::run(&tasks, until_the_end).map_err(|e| format!("waiting for sockets: {e}"))
+    reactor::run(&executor, until_shutdown).map_err(|e| format!("waiting for sockets: {e}"))
 }
 
-/// What changes while serving goes on.
-struct Running {
+/// The parts that a reload changes.
+struct ReloadTargets {
     log: Rc<logger::Log>,
     ledger: Ledger,
     report_every: Rc<Cell<Span>>,
     inbox: Rc<Inbox>,
 }
 
-/// On each SIGHUP reads both files again. The addresses of discovery and platform move to what the configuration
-/// says, the operator's settings are in force at once but for the log's form; all else needs a new start. A fault in
-/// either file changes nothing.
-async fn reread(
-    signals: Async<UnixStream>, (config, file): (PathBuf, Option<PathBuf>),
-    (running, mut operator): (Value, Operator), mut there: (SocketAddr, SocketAddr), parts: Running,
+/// Reads both files again on each SIGHUP. Changed addresses of discovery and the platform and the operator's
+/// settings take effect at once; the log format and everything else need a restart. If either file is
+/// invalid, nothing changes.
+async fn reload_on_signal(
+    signals: Async<UnixStream>, (config, operator_file): (PathBuf, Option<PathBuf>),
+    (running_root, mut operator): (Value, Operator), mut addresses: (SocketAddr, SocketAddr),
+    targets: ReloadTargets,
 ) {
     loop {
-        told(&signals).await;
-        let read = Read::of(&config, file.as_deref());
-        let (read, now) = match read.and_then(|read| startup::moved(&read.root).map(|now| (read, now))) {
-            Ok(read) => read,
-            Err(why) => {
-                error!("told to read the configuration again: it is faulty, the one before stays: {why}");
-                continue;
-            }
-        };
-        info!("told to read the configuration again: discovery {}, platform {}", now.0, now.1);
-        let mut differing = startup::differing(&read.root, &running);
-        if read.operator.log.format != operator.log.format {
-            differing.push("[log] format".into());
+        wait_for_signal(&signals).await;
+        let loaded = LoadedFiles::load(&config, operator_file.as_deref());
+        let (loaded, new) =
+            match loaded.and_then(|loaded| startup::moved(&loaded.root).map(|new| (loaded, new))) {
+                Ok(loaded) => loaded,
+                Err(why) => {
+                    error!("told to read the configuration again: it is faulty, the one before stays: {why}");
+                    continue;
+                }
+            };
+        info!("told to read the configuration again: discovery {}, platform {}", new.0, new.1);
+        let mut changed_keys = startup::differing(&loaded.root, &running_root);
+        if loaded.operator.log.format != operator.log.format {
+            changed_keys.push("[log] format".into());
         }
-        if !differing.is_empty() {
-            warn!("changed, and needing a new start: {}", differing.join(", "));
+        if !changed_keys.is_empty() {
+            warn!("changed, and needing a new start: {}", changed_keys.join(", "));
         }
-        if read.operator != operator {
+        if loaded.operator != operator {
             info!("the operator's settings changed");
-            parts.log.lines(read.operator.log.lines_per_second);
-            parts.report_every.set(read.operator.memory.report_every);
-            // By the limits that the process started with: those of the file wait for the next start.
-            let groups = running.pointer("/settings/classes").and_then(Value::as_array).map_or(1, Vec::len);
-            match startup::plan(&running, groups, &read.operator.memory.shares) {
-                Ok(plan) => parts.ledger.apply_plan(&plan),
-                Err(why) => error!("the shares of memory stay as they are: {why}"),
+            targets.log.lines(loaded.operator.log.lines_per_second);
+            targets.report_every.set(loaded.operator.memory.report_every);
+            // With the limits the process started with; changed limits need a restart.
+            let groups =
+                running_root.pointer("/settings/classes").and_then(Value::as_array).map_or(1, Vec::len);
+            match startup::plan(&running_root, groups, &loaded.operator.memory.shares) {
+                Ok(plan) => targets.ledger.apply_plan(&plan),
+                Err(why) => error!("memory shares stay unchanged: {why}"),
             }
-            operator = read.operator;
+            operator = loaded.operator;
         }
-        let moved = |now: SocketAddr, was: SocketAddr| (now != was).then_some(now);
-        parts
-            .inbox
-            .push_control_event(ControlEvent::AddressesChanged(moved(now.0, there.0), moved(now.1, there.1)));
-        there = now;
+        let changed = |new: SocketAddr, old: SocketAddr| (new != old).then_some(new);
+        targets.inbox.push_control_event(ControlEvent::AddressesChanged(
+            changed(new.0, addresses.0),
+            changed(new.1, addresses.1),
+        ));
+        addresses = new;
     }
 }
 
-/// Reports what memory is held for: every so often, and on each SIGUSR1; and changes of a level as they come.
-async fn tell_memory(
-    asked: Async<UnixStream>, (ledger, log): (Ledger, Rc<logger::Log>), groups: Vec<String>,
-    clients: Rc<Clients>, every: Rc<Cell<Span>>,
+/// Reports memory held by purpose, periodically and on each SIGUSR1, and level changes as they occur.
+async fn report_memory(
+    report_signals: Async<UnixStream>, (ledger, log): (Ledger, Rc<logger::Log>), groups: Vec<String>,
+    clients: Rc<ClientServer>, interval: Rc<Cell<Span>>,
 ) {
-    let (mut last, mut lines) = (Instant::now(), ledger.empty_charge(Purpose::Log));
+    let (mut last_report, mut log_charge) = (Instant::now(), ledger.empty_charge(Purpose::Log));
     loop {
-        let asked = async {
-            told(&asked).await;
+        let requested = async {
+            wait_for_signal(&report_signals).await;
             true
         };
         let tick = async {
-            Timer::after(CHANGES).await;
+            Timer::after(LEVEL_CHECK_INTERVAL).await;
             false
         };
-        let asked = or(asked, tick).await;
-        // The log's thread has no part in the ledger; its bound is the reserve, which nobody else can take.
-        let _ = lines.resize(log.waiting());
+        let requested = or(requested, tick).await;
+        // The log thread does not use the ledger: its memory is bounded by the reserve, which no other
+        // purpose can take.
+        let _ = log_charge.resize(log.waiting());
         memory::changes(&ledger, &groups);
-        let due = every.get() > Span::ZERO && last.elapsed() >= duration(every.get());
-        if asked || due {
-            last = Instant::now();
+        let due = interval.get() > Span::ZERO && last_report.elapsed() >= duration(interval.get());
+        if requested || due {
+            last_report = Instant::now();
             memory::report(&ledger, &groups, clients.count());
         }
     }
 }
 
-/// A stream on which a byte comes for each of these signals.
-fn signals(which: &[i32]) -> io::Result<Async<UnixStream>> {
-    let (ours, theirs) = UnixStream::pair()?;
-    for signal in which {
-        signal_hook::low_level::pipe::register(*signal, theirs.try_clone()?)?;
+/// Returns a stream that receives one byte for each of these signals.
+fn register_signals(numbers: &[i32]) -> io::Result<Async<UnixStream>> {
+    let (reader, writer) = UnixStream::pair()?;
+    for signal in numbers {
+        signal_hook::low_level::pipe::register(*signal, writer.try_clone()?)?;
     }
-    ours.set_nonblocking(true)?;
-    Async::new(ours)
+    reader.set_nonblocking(true)?;
+    Async::new(reader)
 }
 
 /// Waits for the next signal.
-async fn told(signals: &Async<UnixStream>) {
+async fn wait_for_signal(signals: &Async<UnixStream>) {
     while !matches!(signals.get_ref().read(&mut [0]), Ok(1)) {
         signals.drained();
         signals.readable().await;
     }
 }
 
-/// A host for a marshal that is made only to see whether its settings can be read.
-struct Nobody;
+/// Host for a marshal created only to check that its settings can be read.
+struct NullHost;
 
-impl Host for Nobody {
+impl Host for NullHost {
     fn forward(&mut self, _: u32, _: u64, _: stonescale::time::Span) {}
     fn bounce(&mut self, _: u32, _: stonescale::time::Span) {}
     fn error(&mut self, _: u32) {}
