--- a/crates/marshal/src/client.rs
+++ b/crates/marshal/src/client.rs
@@ -15,9 +15,9 @@
 use stonescale_budget::purpose::ReclaimAction;
 use stonescale_budget::{Buffer, Charge, Ledger, Purpose, eviction};
 
-/// Limits on the commands in progress and on the bytes of unsent replies of one connection; at either,
-/// reading pauses.
+/// Limit on the commands in progress of one connection, at which reading pauses.
 pub const MAX_PENDING_COMMANDS: usize = 128;
+/// Limit on the unsent reply bytes of one connection, at which reading pauses.
 const MAX_UNSENT_BYTES: usize = 2 * command::MAX_VALUE_BYTES;
 /// A client that has accepted no reply bytes for this long counts as stalled, and is closed when memory for
 /// client output is short.
@@ -40,6 +40,7 @@
     }
 }
 
+/// A command of the connection in progress, in order of arrival.
 enum Slot {
     /// No reply yet; holds the number of the hit once the core task has assigned one.
     Pending(Option<u32>),
@@ -47,6 +48,7 @@
     Ready(Reply),
 }
 
+/// The state of one client connection.
 pub struct Client {
     registry: Rc<ClientRegistry>,
     /// `None` once the connection has ended: the descriptor must not stay open while others hold a reference
@@ -61,6 +63,7 @@
     last_activity: Cell<Time>,
     /// Whether a complete command was received on it.
     pub has_sent_command: Cell<bool>,
+    /// The connection has ended.
     pub closed: Cell<bool>,
     /// Its descriptor is needed for other clients: its task closes it if it is still idle then.
     pub evict_if_idle: Cell<bool>,
@@ -68,6 +71,7 @@
     pub closing: Cell<bool>,
     /// To be closed at once: the client does not read, or the connection failed.
     aborted: Cell<bool>,
+    /// Wakes the connection's task.
     pub signal: Signal,
     _charge: Charge,
 }
@@ -95,6 +99,7 @@
         })
     }
 
+    /// The socket; `None` once the connection has ended.
     pub fn stream(&self) -> Option<Rc<Async<TcpStream>>> {
         self.stream.borrow().clone()
     }
@@ -294,6 +299,7 @@
         Some(client)
     }
 
+    /// All clients whose connection has not ended.
     pub fn connected(&self) -> Vec<Rc<Client>> {
         self.clients.borrow().iter().filter_map(Weak::upgrade).filter(|c| !c.closed.get()).collect()
     }
--- a/crates/marshal/src/clients.rs
+++ b/crates/marshal/src/clients.rs
@@ -36,8 +36,8 @@
 const SINGLE_COMMAND_IDLE_FACTOR: f64 = 0.1;
 /// A connection is kept at least this long when all are in use and others wait to be accepted.
 const MIN_TENURE: Span = Span::millis(1_000);
-/// Time limit for a client's first complete command, and for each partly received one. The protocol allows
-/// clients 3 s.
+/// Time limit for a client's first complete command, and for each partly received one. The protocol's limit
+/// is 3 s.
 const COMMAND_TIMEOUT: Span = Span::millis(2_500);
 /// How long a connection with a framing error stays open for the client to read the error.
 const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
@@ -66,6 +66,7 @@
     command_started_at: Instant,
 }
 
+/// A command being discarded, and the reply it gets afterwards.
 struct SkippedCommand {
     remaining_bytes: usize,
     sequence: u64,
@@ -90,6 +91,7 @@
         })
     }
 
+    /// Number of open client connections.
     pub fn count(&self) -> usize {
         self.count.get()
     }
--- a/crates/marshal/src/command.rs
+++ b/crates/marshal/src/command.rs
@@ -9,6 +9,7 @@
 
 /// The protocol page allows 64 KiB for a value or body; the rest of a command is short.
 pub const MAX_VALUE_BYTES: usize = 64 * 1024;
+/// Limits on the size of a client command.
 pub const COMMAND_LIMITS: MessageLimits = MessageLimits {
     max_elements: 16,
     max_bulk_bytes: MAX_VALUE_BYTES,
@@ -24,9 +25,13 @@
     /// command.
     attributes: Element,
     wait_range: Range<usize>,
+    /// Index of the path group.
     pub group: usize,
+    /// Index of the tenant; zero where no tenants are configured.
     pub tenant: usize,
+    /// The key as a number.
     pub key: u64,
+    /// How long the client waits for the reply.
     pub client_wait: Span,
     /// Range of the id assigned by the client.
     id_range: Range<usize>,
@@ -59,6 +64,7 @@
     }
 }
 
+/// A parsed command.
 pub enum Request {
     Hit(HitRequest),
     /// A command answered at once, with its reply.
--- a/crates/marshal/src/core.rs
+++ b/crates/marshal/src/core.rs
@@ -50,6 +50,7 @@
     hedge_timer: Option<TimerHandle>,
 }
 
+/// One forward of a pending hit.
 struct ForwardState {
     sent_at: Time,
     /// The connection until the forward's end has been reported; `None` if no connection was available.
@@ -247,6 +248,7 @@
     }
 }
 
+/// The decision module together with its host.
 pub struct Core {
     marshal: Marshal,
     host: MarshalHost,
@@ -348,6 +350,7 @@
         }
     }
 
+    /// Passes a node list to the node connections and to the decision module.
     pub fn apply_node_list(&mut self, update: ListUpdate, entries: Vec<NodeEntry>) {
         debug!("list: {update:?}, {} entries", entries.len());
         let now = self.host.now;
@@ -373,6 +376,7 @@
         self.marshal.on_list_end(&mut self.host);
     }
 
+    /// Passes the newest build's state, and the outcome of a vote if any, to the decision module.
     pub fn apply_stage(
         &mut self, (build, stage, status, cap, age): StageReport, vote: Option<ForwardOutcome>,
     ) {
--- a/crates/marshal/src/endings.rs
+++ b/crates/marshal/src/endings.rs
@@ -3,6 +3,7 @@
 use std::io::{Error, ErrorKind};
 use stonescale::host::ForwardOutcome;
 
+/// Why a forward or the connection that carried it ended. Log lines print the variants by name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndReason {
     /// The node replied with a value.
--- a/crates/marshal/src/inbox.rs
+++ b/crates/marshal/src/inbox.rs
@@ -20,6 +20,7 @@
 /// Build, stage, status, cap, and how long the build has had this status.
 pub type StageReport = (u16, u8, BuildStatus, f64, Span);
 
+/// Event from discovery, the platform or a configuration reload.
 pub enum ControlEvent {
     /// A node list update, with the memory charge that covers its entries.
     NodeList(ListUpdate, Vec<NodeEntry>, Charge),
@@ -37,6 +38,7 @@
     AddressesChanged(Option<SocketAddr>, Option<SocketAddr>),
 }
 
+/// Event that concerns hits already accepted.
 pub enum HitEvent {
     ForwardEnded {
         hit: u32,
@@ -59,6 +61,7 @@
     pub received_at: Time,
 }
 
+/// The three queues, and the signal that wakes the core task.
 #[derive(Default)]
 pub struct Inbox {
     pub control_events: RefCell<VecDeque<ControlEvent>>,
--- a/crates/marshal/src/nodes.rs
+++ b/crates/marshal/src/nodes.rs
@@ -25,6 +25,7 @@
 use stonescale_formats::resp::{ElementKind, MessageLimits, Scanner};
 use tracing::{debug, info, warn};
 
+/// Limits on the size of a node's reply.
 const REPLY_LIMITS: MessageLimits = MessageLimits {
     max_elements: 8,
     max_bulk_bytes: MAX_VALUE_BYTES,
@@ -41,11 +42,12 @@
 /// reply; they must have arrived by the time the connection is checked, or they would be taken for the reply
 /// to the next hit.
 const REUSE_DELAY: Span = Span::millis(5);
-/// One node may occupy this fraction of the memory for bytes queued to all nodes.
+/// One node may occupy one part in this many of the memory for bytes queued to all nodes.
 const NODE_QUEUE_DIVISOR: usize = 4;
 /// Interval of retries to reserve memory for an incoming reply.
 const MEMORY_RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
+/// A forward on a connection whose reply has not been received.
 struct PendingForward {
     hit: u32,
     hop: u8,
@@ -153,6 +155,7 @@
     }
 }
 
+/// Address of a node and the connections to it.
 struct NodeState {
     addr: SocketAddr,
     /// When the node was listed as removed; `None` while it is listed.
@@ -160,6 +163,7 @@
     connections: Vec<Rc<NodeConnection>>,
 }
 
+/// The nodes by number, and all connections to them.
 pub struct NodePool {
     nodes: Vec<Option<NodeState>>,
     inbox: Rc<Inbox>,
@@ -197,6 +201,7 @@
         }
     }
 
+    /// Number of connections open or being established.
     pub fn open_connections(&self) -> usize {
         self.open_connections.get()
     }
@@ -398,7 +403,7 @@
     head && words.all(|word| is_number_or_load(word) && word.split(|b| *b == b',').all(is_item))
 }
 
-/// The task of one connection.
+/// The task of one connection: establishes it, writes its queue and reads replies.
 struct ConnectionTask {
     connection: Rc<NodeConnection>,
     inbox: Rc<Inbox>,
--- a/crates/marshal/src/serve.rs
+++ b/crates/marshal/src/serve.rs
@@ -63,6 +63,7 @@
     Ok((loaded.summary, loaded.in_force))
 }
 
+/// Parses every section of both files; returns a summary and the memory plan.
 fn validate(root: &Value, operator: &Operator) -> Result<(String, Plan), String> {
     let (name, listen, discovery) = startup::identity(root)?;
     startup::seed(root)?;
--- a/crates/marshal/src/turn.rs
+++ b/crates/marshal/src/turn.rs
@@ -20,6 +20,7 @@
 }
 
 impl Signal {
+    /// Raises the signal and wakes the waiting task, if any.
     pub fn raise(&self) {
         self.raised.set(true);
         if let Some(waker) = self.waker.take() {
@@ -27,6 +28,7 @@
         }
     }
 
+    /// Waits until the signal is raised, and clears it.
     pub async fn wait(&self) {
         poll_fn(|cx| {
             if self.raised.take() {
@@ -39,6 +41,7 @@
     }
 }
 
+/// Event that ended a wait.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Wakeup {
     Readable,
@@ -121,6 +124,7 @@
     retry_interrupted(stream, |mut socket| socket.write_vectored(&slices[..used]))
 }
 
+/// Runs `write`, again where a system call was interrupted; zero bytes where it would block.
 fn retry_interrupted(
     stream: &Async<TcpStream>, write: impl Fn(&TcpStream) -> io::Result<usize>,
 ) -> io::Result<usize> {
