--- a/crates/marshal/src/discovery.rs
+++ b/crates/marshal/src/discovery.rs
@@ -1,9 +1,9 @@
 //! HTTP/1.1 client of discovery: fetches the full node list and watches it for changes. The decision module chooses
 //! when to send a request, and is notified of every failure.
 
-use crate::inbox::{Entry, Inbox, News};
+use crate::inbox::{ControlEvent, Inbox, NodeEntry};
 use crate::reactor::Async;
-use crate::turn::{Signal, Turn, connect, read_some, turn};
+use crate::turn::{Signal, Wakeup, connect, read_available, wait_for_wakeup};
 use async_executor::{LocalExecutor, Task};
 use serde::Deserialize;
 use std::borrow::Cow;
@@ -60,7 +60,7 @@
     }
 
     /// Converts one entry of the list. An error names the faulty key.
-    fn parse_entry(&self, server: &Server) -> Result<Entry, String> {
+    fn parse_entry(&self, server: &Server) -> Result<NodeEntry, String> {
         let index_of = |names: &[String], name: &str| names.iter().position(|n| n == name);
         let addr = server.addr.parse().map_err(|_| "addr is not an address and a port")?;
         let readiness = match &*server.state {
@@ -87,7 +87,7 @@
 
     /// Returns the version of a list object, whether it is the full list, and its entries. One invalid entry makes
     /// the whole list invalid: if it were skipped, a drain could be missed for good.
-    pub fn parse_list(&self, list: List) -> Result<(u64, bool, Vec<Entry>), String> {
+    pub fn parse_list(&self, list: List) -> Result<(u64, bool, Vec<NodeEntry>), String> {
         let entries: Result<Vec<_>, _> = list.servers.iter().map(|server| self.parse_entry(server)).collect();
         Ok((list.version, list.full, entries?))
     }
@@ -198,7 +198,7 @@
         if let Err(why) = self.read_response().await {
             info!("discovery: {why}");
             if self.is_newest() {
-                self.inbox.news(News::ListFailed);
+                self.inbox.push_control_event(ControlEvent::ListFailed);
             }
         }
     }
@@ -257,10 +257,11 @@
         body.clear();
         let (signal, deadline) = (Signal::default(), Instant::now() + SILENCE_TIMEOUT);
         loop {
-            if turn(stream, true, false, &signal, Some(deadline)).await == Turn::Due {
+            if wait_for_wakeup(stream, true, false, &signal, Some(deadline)).await == Wakeup::DeadlineReached
+            {
                 return Err(format!("nothing received for {SILENCE_TIMEOUT:?}"));
             }
-            match read_some(stream, scratch) {
+            match read_available(stream, scratch) {
                 Ok(None) => {}
                 Ok(Some([])) => return Ok(true),
                 Ok(Some(bytes)) => return response.feed(bytes, body).map(|()| false).map_err(Into::into),
@@ -287,7 +288,7 @@
             drop(self.previous_watch.take());
         }
         self.version.set(Some(version));
-        self.inbox.news(News::Listed(
+        self.inbox.push_control_event(ControlEvent::NodeList(
             if full { ListUpdate::Full } else { ListUpdate::Delta },
             entries,
             charge,
--- a/crates/marshal/src/platform.rs
+++ b/crates/marshal/src/platform.rs
@@ -2,9 +2,9 @@
 //! of the platform's address, the connection to the old address stays open until the new one has delivered a message.
 
 use crate::clock::duration;
-use crate::inbox::{Inbox, News, Stage};
+use crate::inbox::{ControlEvent, Inbox, StageReport};
 use crate::reactor::{Async, Timer};
-use crate::turn::{Signal, Turn, connect, read_some, turn, write_some};
+use crate::turn::{Signal, Wakeup, connect, read_available, wait_for_wakeup, write_available};
 use async_executor::LocalExecutor;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -80,7 +80,7 @@
 }
 
 /// Reads the state of the newest build from a JSON object of the platform. An error names the faulty key.
-pub fn parse_stage(status: &Value) -> Result<Stage, String> {
+pub fn parse_stage(status: &Value) -> Result<StageReport, String> {
     let number = |key: &str| status.get(key).and_then(Value::as_f64).ok_or(format!("{key} is not a number"));
     let build =
         Some(number("build")?).filter(|b| (0.0..65536.0).contains(b)).ok_or("build is not a build number")?;
@@ -150,7 +150,7 @@
     /// Reports the outcome of a vote that got no usable answer.
     fn report_failed_vote(&self, outcome: ForwardOutcome) {
         let unknown = (0, 0, BuildStatus::Withdrawn, 0.0, Span::ZERO);
-        self.inbox.news(News::Stage(unknown, Some(outcome)));
+        self.inbox.push_control_event(ControlEvent::Stage(unknown, Some(outcome)));
     }
 
     /// Keeps the endpoint connected until a newer one replaces it.
@@ -270,11 +270,13 @@
                 return format!("connection failed: {e}");
             }
             let deadline = self.next_deadline(endpoint).map_or(silent_at, |deadline| deadline.min(silent_at));
-            match turn(stream, true, !connection.out.is_empty(), &endpoint.signal, Some(deadline)).await {
-                Turn::Due if Instant::now() >= silent_at => {
+            match wait_for_wakeup(stream, true, !connection.out.is_empty(), &endpoint.signal, Some(deadline))
+                .await
+            {
+                Wakeup::DeadlineReached if Instant::now() >= silent_at => {
                     return format!("nothing received for {SILENCE_TIMEOUT:?}");
                 }
-                Turn::Readable => match read_some(stream, &mut scratch) {
+                Wakeup::Readable => match read_available(stream, &mut scratch) {
                     Ok(None) => {}
                     Ok(Some([])) => return "closed by the platform".into(),
                     Ok(Some(bytes)) => {
@@ -348,7 +350,7 @@
     }
 
     fn flush(&mut self, stream: &Async<TcpStream>) -> std::io::Result<()> {
-        write_some(stream, &mut self.out, &mut self.written_bytes).map(|_| ())
+        write_available(stream, &mut self.out, &mut self.written_bytes).map(|_| ())
     }
 }
 
@@ -378,7 +380,9 @@
             return;
         }
         match parse_stage(result) {
-            Ok(stage) => self.platform.inbox.news(News::Stage(stage, Some(ForwardOutcome::Ok))),
+            Ok(stage) => {
+                self.platform.inbox.push_control_event(ControlEvent::Stage(stage, Some(ForwardOutcome::Ok)))
+            }
             Err(why) => {
                 self.platform.report_failed_vote(ForwardOutcome::TimedOut);
                 self.invalid = Some(why);
@@ -412,19 +416,28 @@
             // Only some platforms report their counts.
             "metrics" => match (number("build"), group(), number("count"), number("failed")) {
                 (Some(build), Some(group), Some(count), Some(failed)) => {
-                    self.platform.inbox.news(News::Sums(build as u16, group, count as u32, failed as u32));
+                    self.platform.inbox.push_control_event(ControlEvent::PlatformCounts(
+                        build as u16,
+                        group,
+                        count as u32,
+                        failed as u32,
+                    ));
                 }
                 _ => self.invalid = Some("invalid build, class, count or failed in metrics".into()),
             },
             "progress" => match parse_stage(params) {
-                Ok(stage) => self.platform.inbox.news(News::Stage(stage, None)),
+                Ok(stage) => self.platform.inbox.push_control_event(ControlEvent::Stage(stage, None)),
                 Err(why) => self.invalid = Some(why),
             },
             "complaint" => {
                 let age = number("age_ms").map(|ms| Span::from_seconds(ms.max(0.0) / 1e3));
                 match (text("server"), group(), age) {
                     (Some(node), Some(group), Some(age)) => {
-                        self.platform.inbox.news(News::Flagged { node: node.to_owned(), group, age });
+                        self.platform.inbox.push_control_event(ControlEvent::WrongAnswerReport {
+                            node: node.to_owned(),
+                            group,
+                            age,
+                        });
                     }
                     _ => self.invalid = Some("invalid server, class or age_ms in complaint".into()),
                 }
