--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# What a developer does here; .ci/run does test and lint together.
+# Developer targets; .ci/run runs test and lint together.
 .PHONY: build test lint run check
 
 build:
