--- a/src/policy.rs
+++ b/src/policy.rs
@@ -35,7 +35,7 @@
 const KEPT_WINDOWS: f64 = 4.0; // evidence kept, for marshals whose traffic doesn't fill one window
 const INTERVAL_WINDOWS: f64 = 1.0 / 20.0; // evaluation interval, and time resolution of the evidence
 const IGNORED_WARM_UP_SHARE: f64 = 0.2; // of the warm-up; late outcomes are ignored for the whole of it
-const FLEET_LATENCY_QUANTILE: usize = 3; // 1/3 quantile of the recent answers, fastest first
+const LATENCY_QUANTILE_DIVISOR: usize = 3; // 1/3 quantile of the recent answers, fastest first
 const RECENT_WINDOWS: f64 = 0.4; // where that span holds enough answers
 const COMPARABLE_LOAD_RATIO: f64 = 1.2; // ratio of work per node up to which answer times are compared
 const SLOW_INTERVALS: u32 = 7; // in a row, until the fleet counts as slowed down
@@ -228,30 +228,30 @@
         // With little traffic, evidence may be older; for the earlier builds as for the build on trial.
         let (from, older) = (now - WINDOW, now - WINDOW * KEPT_WINDOWS);
         let groups = self.expected_bad_shares.len();
-        let mut build_nodes = self.own_counts.by_source(from, groups, |b| b == build);
-        let mut earlier_nodes = self.own_counts.by_source(from, groups, |b| b < build);
-        let (recent_total, earlier_recent) = (sum_all(&build_nodes).total, sum_all(&earlier_nodes));
+        let mut build_by_node = self.own_counts.by_source(from, groups, |b| b == build);
+        let mut earlier_by_node = self.own_counts.by_source(from, groups, |b| b < build);
+        let (recent_total, earlier_recent) = (sum_all(&build_by_node).total, sum_all(&earlier_by_node));
         if recent_total < MIN_OUTCOMES {
-            build_nodes = self.own_counts.by_source(older, groups, |b| b == build);
+            build_by_node = self.own_counts.by_source(older, groups, |b| b == build);
         }
         if earlier_recent.total < MIN_OUTCOMES {
-            earlier_nodes = self.own_counts.by_source(older, groups, |b| b < build);
+            earlier_by_node = self.own_counts.by_source(older, groups, |b| b < build);
         }
-        let earlier = sum_all(&earlier_nodes);
+        let earlier_sum = sum_all(&earlier_by_node);
         // With no earlier node left, the expectation is out of date, and going back may leave no node to
         // send to.
-        if earlier.total < MIN_OUTCOMES || earlier_recent.total < MIN_OUTCOMES / KEPT_WINDOWS {
+        if earlier_sum.total < MIN_OUTCOMES || earlier_recent.total < MIN_OUTCOMES / KEPT_WINDOWS {
             return None;
         }
         // Missing outcomes of a path group are filled in at the share of all groups, kept or recent,
         // whichever is higher: with a fixed floor that light traffic never replaces, the build would be
         // judged bad for faults that strike every build.
-        let fill_share = earlier.bad_share().max(earlier_recent.bad_share());
+        let fill_share = earlier_sum.bad_share().max(earlier_recent.bad_share());
         let (many_votes, floor) = (
             self.needs_many_votes(),
             if self.needs_many_votes() { SHARE_FLOOR / VOTERS_PER_VOTE as f64 } else { SHARE_FLOOR },
         );
-        let baseline = sum_by_group(&earlier_nodes, groups);
+        let baseline = sum_by_group(&earlier_by_node, groups);
         for (expected, counts) in self.expected_bad_shares.iter_mut().zip(&baseline) {
             let missing = (MIN_OUTCOMES - counts.total).max(0.0);
             *expected = ((counts.bad + missing * fill_share) / (counts.total + missing)).max(floor);
@@ -261,26 +261,26 @@
         let is_unhealthy =
             |n: &&Node| n.build != build && n.error_score >= FAILURE_WEIGHT && !n.is_silent(now);
         let unhealthy = nodes.ready().filter(is_unhealthy).count();
-        let usual_exclusion = (1 + unhealthy).max(build_nodes.len().div_ceil(3));
+        let usual_exclusion = (1 + unhealthy).max(build_by_node.len().div_ceil(3));
         // Where many votes are needed, each marshal sends to few nodes of the build: of those it excludes
         // the part that looks unhealthy elsewhere.
-        let proportional = (unhealthy * build_nodes.len()).div_ceil(earlier_nodes.len().max(1));
-        let excluded = if many_votes { proportional } else { usual_exclusion }.min(build_nodes.len());
+        let proportional = (unhealthy * build_by_node.len()).div_ceil(earlier_by_node.len().max(1));
+        let excluded = if many_votes { proportional } else { usual_exclusion }.min(build_by_node.len());
         let discounted = if self.voting.votes_needed > VOTERS_PER_VOTE { excluded } else { 0 };
-        let kept_share = 1.0 - discounted as f64 / build_nodes.len().max(1) as f64;
+        let kept_share = 1.0 - discounted as f64 / build_by_node.len().max(1) as f64;
         let rows = |counts: Vec<OutcomeCounts>, shares: &[f64], baseline: &[OutcomeCounts]| {
             let expected = std::iter::zip(shares, baseline).map(|(share, known)| (*share, known.total));
             std::iter::zip(counts, expected).map(|(c, (share, known))| (c, share, known)).collect::<Vec<_>>()
         };
-        let all_rows = rows(sum_by_group(&build_nodes, groups), &self.expected_bad_shares, &baseline);
-        let mut worst_first = build_nodes.clone();
+        let all_rows = rows(sum_by_group(&build_by_node, groups), &self.expected_bad_shares, &baseline);
+        let mut worst_first = build_by_node.clone();
         worst_first.sort_by(|a, b| OutcomeCounts::sum(&b.1).bad.total_cmp(&OutcomeCounts::sum(&a.1).bad));
         let kept = sum_by_group(&worst_first[excluded..], groups);
         let kept_failures = kept.iter().map(|c| c.failures_only()).collect();
         let kept_rows = rows(kept, &self.expected_bad_shares, &baseline);
         // Lateness that strikes all builds raises the expected share and would hide the failures of one:
         // failures are tested separately too.
-        let failure_share = earlier.failures_only().bad_share();
+        let failure_share = earlier_sum.failures_only().bad_share();
         let expected_failure_shares = baseline.iter().map(|known| {
             (known.failed + (MIN_OUTCOMES - known.total).max(0.0) * failure_share)
                 / known.total.max(MIN_OUTCOMES)
@@ -302,7 +302,8 @@
             let shares: Vec<f64> = before.iter().map(|c| c.bad_share().max(SHARE_FLOOR)).collect();
             Self::exceeds(&rows(platform(&|b| b == build), &shares, &before), 1.0, false)
         };
-        if exceeded || (recent_total < MIN_OUTCOMES && sum_all(&build_nodes).bad > 0.0 && platform_exceeded())
+        if exceeded
+            || (recent_total < MIN_OUTCOMES && sum_all(&build_by_node).bad > 0.0 && platform_exceeded())
         {
             let shown: String = all_rows
                 .iter()
@@ -313,13 +314,15 @@
             return Some(format!("failing, by path group:{shown}"));
         }
         // A build may be slow within the target latency: half again as long for like work at like load.
-        build_nodes.sort_by(|a, b| {
+        build_by_node.sort_by(|a, b| {
             OutcomeCounts::sum(&b.1).mean_slowdown().total_cmp(&OutcomeCounts::sum(&a.1).mean_slowdown())
         });
-        let (kept_total, usual) =
-            (sum_all(&build_nodes[excluded..]), earlier.mean_slowdown().max(earlier_recent.mean_slowdown()));
-        let comparable_load = sum_all(&build_nodes).total * earlier_nodes.len() as f64
-            <= COMPARABLE_LOAD_RATIO * earlier.total * build_nodes.len() as f64;
+        let (kept_total, usual) = (
+            sum_all(&build_by_node[excluded..]),
+            earlier_sum.mean_slowdown().max(earlier_recent.mean_slowdown()),
+        );
+        let comparable_load = sum_all(&build_by_node).total * earlier_by_node.len() as f64
+            <= COMPARABLE_LOAD_RATIO * earlier_sum.total * build_by_node.len() as f64;
         let slow = comparable_load
             && kept_total.timed >= MIN_OUTCOMES / 2.0
             && kept_total.mean_slowdown() >= EXCESS_RATIO * usual;
@@ -340,10 +343,10 @@
             votes_needed as f64 * HOLDERS_PER_HOLD / calls_per_s.max(1.0),
         );
         let begin = if status == BuildStatus::OnTrial { HOLD_SPAN } else { Span::ZERO };
-        let at_seconds = (stage_age - begin).seconds().rem_euclid(round_seconds);
+        let seconds_into_round = (stage_age - begin).seconds().rem_euclid(round_seconds);
         !self.needs_many_votes()
             || round_seconds <= turn.seconds()
-            || (stage_age >= begin && at_seconds < turn.seconds())
+            || (stage_age >= begin && seconds_into_round < turn.seconds())
     }
 
     /// The vote that should stand now: build, stage and verdict.
@@ -426,9 +429,9 @@
         let width = ((self.hit_rate * SUBSET_CONTACT_SPAN.seconds()) as usize).max(MIN_SUBSET_WIDTH);
         let ranked = self.nodes.ranked(self.list_settings.marshal_index);
         // Where a new build's nodes run in parallel to the earlier ones, either can carry the whole traffic.
-        let of_build =
+        let count_of_build =
             |build| ranked.iter().filter(|(k, _)| k.0 == build).map(|(_, v)| v.len()).sum::<usize>();
-        let largest = ranked.keys().map(|k| of_build(k.0)).max().unwrap_or(0);
+        let largest = ranked.keys().map(|k| count_of_build(k.0)).max().unwrap_or(0);
         let capacity =
             if self.list_settings.parallel_layout { largest } else { ranked.values().map(Vec::len).sum() };
         self.subset.clear();
@@ -449,7 +452,7 @@
     /// taken a multiple of times. The points of any number of marshals add up to the same load, where whole
     /// credits for each marshal would make a burst.
     fn accepts(
-        &self, node: &Node, hit: &Hit, on_trial: bool, usual_work: f64, shed_share: f64, now: Time,
+        &self, node: &Node, hit: &Hit, on_trial: bool, mean_work_seconds: f64, shed_share: f64, now: Time,
     ) -> bool {
         let (warm_share, surge) =
             (self.warm_share(node, now), (self.hit_rate / self.long_run_hit_rate).max(1.0));
@@ -462,7 +465,7 @@
                     * COLD_LOAD_SHARE
                     * warm_share
                     * (1.0 - shed_share)
-                    * usual_work
+                    * mean_work_seconds
                     / hit.work_seconds
                     / surge
             }
@@ -845,10 +848,10 @@
             return;
         }
         hit.state = to;
-        let wait =
+        let retry_after_span =
             retry_after(self.handling.groups[hit.group].target_latency, self.handling.limits.max_retry_after);
         match to {
-            HitState::Bounced => host.bounce(hit.id, wait),
+            HitState::Bounced => host.bounce(hit.id, retry_after_span),
             HitState::Errored => host.error(hit.id),
             _ => {}
         }
@@ -969,11 +972,15 @@
             && (outcome == ForwardOutcome::TimedOut || latency > self.handling.groups[group].target_latency);
         let unanswered =
             matches!(outcome, ForwardOutcome::TimedOut | ForwardOutcome::Reset | ForwardOutcome::Cancelled);
-        let silent =
+        let uninformative =
             matches!(outcome, ForwardOutcome::Rejected | ForwardOutcome::Unreached | ForwardOutcome::Unsent)
                 || (unanswered && node.unanswered_since.is_some_and(|t| t <= sent_at));
         let early = younger_than(IGNORED_WARM_UP_SHARE) || (younger_than(1.0) && (late || unanswered));
-        if node.build != build || probe || silent || early || (outcome == ForwardOutcome::Cancelled && !late)
+        if node.build != build
+            || probe
+            || uninformative
+            || early
+            || (outcome == ForwardOutcome::Cancelled && !late)
         {
             return;
         }
@@ -996,9 +1003,10 @@
         if Some(build) == self.gate.newest() {
             self.gate.record.stage_outcomes += 1.0;
             self.gate.record.net_good_outcomes += 1.0 - 2.0 * counts.bad;
-            let unreported = self.gate.voting.reported_share * SHARE_FLOOR * (1.0 - MISTAKEN_REPORT_RATIO);
+            let unreported_log_odds =
+                self.gate.voting.reported_share * SHARE_FLOOR * (1.0 - MISTAKEN_REPORT_RATIO);
             self.gate.record.wrong_answer_log_odds =
-                (self.gate.record.wrong_answer_log_odds - unreported).max(0.0);
+                (self.gate.record.wrong_answer_log_odds - unreported_log_odds).max(0.0);
         }
     }
 
@@ -1104,7 +1112,7 @@
             return false;
         }
         let latency_ratio =
-            gate.latency_ratio_quantile(FLEET_LATENCY_QUANTILE) / (1.0 - gate.shed_share).max(SHARE_FLOOR);
+            gate.latency_ratio_quantile(LATENCY_QUANTILE_DIVISOR) / (1.0 - gate.shed_share).max(SHARE_FLOOR);
         let newest_share =
             gate.recent_answers.iter().filter(|a| Some(a.2) == newest).count() as f64 / answer_count;
         gate.record.slowdown_history.push_back((newest_share, latency_ratio, load));
--- a/src/state.rs
+++ b/src/state.rs
@@ -451,11 +451,11 @@
 }
 
 impl ReleaseGate {
-    /// Latency ratio at the 1/`parts` quantile of the recent answers, fastest first.
-    pub fn latency_ratio_quantile(&self, parts: usize) -> f64 {
+    /// Latency ratio at the 1/`divisor` quantile of the recent answers, fastest first.
+    pub fn latency_ratio_quantile(&self, divisor: usize) -> f64 {
         let mut ratios: Vec<f64> = self.recent_answers.iter().map(|a| a.1).collect();
         ratios.sort_by(f64::total_cmp);
-        ratios[ratios.len() / parts]
+        ratios[ratios.len() / divisor]
     }
 }
 
