--- a/src/host.rs
+++ b/src/host.rs
@@ -37,6 +37,7 @@
     fn fetch(&mut self);
     /// Sets a timer: `Marshal::on_timer` is to be called with `token` after `delay`.
     fn set_timer(&mut self, delay: Span, token: u64);
+    /// Writes a message to the log; the module logs why it votes a build back.
     fn log(&mut self, text: &str);
 }
 
--- a/src/load_shedding.rs
+++ b/src/load_shedding.rs
@@ -18,9 +18,9 @@
 /// Weight of a hit in the traffic shares of the path groups.
 const TRAFFIC_SHARE_WEIGHT: f64 = 0.01;
 /// A path group's usual answer time is the minimum over time of a moving average with this weight, raised by a small
-/// factor with each answer, in case answers have become slower for good. A mean over all answers would take a marshal
-/// that started with a queue, or a day that is overloaded from its start, for usual. The initial estimate counts as a
-/// number of answers.
+/// factor with each answer, in case answers have become slower for good. With a mean over all answers, the queue that a
+/// marshal found at its start, or a day that is overloaded from its start, would count as usual. The initial estimate
+/// counts as a number of answers.
 const RECENT_WEIGHT: f64 = 1.0 / 16.0;
 const USUAL_GROWTH: f64 = 0.001;
 const INITIAL_ESTIMATE_ANSWERS: f64 = 2.0;
@@ -120,8 +120,8 @@
             / (self.dequeued + INITIAL_ANSWERS)
     }
 
-    /// Usual answer time of a path group, at most the share of its target latency that can be served: limits what a
-    /// marshal learnt that started with a queue.
+    /// Usual answer time of a path group, bounded by `MAX_USUAL_TARGET_SHARE` of its target latency, in case the
+    /// marshal started with a queue and took it for usual.
     fn servable_seconds(&self, group: usize) -> f64 {
         self.usual_seconds[group].min(self.target_seconds[group] * MAX_USUAL_TARGET_SHARE)
     }
--- a/src/outcomes.rs
+++ b/src/outcomes.rs
@@ -11,7 +11,8 @@
     pub bad: f64,
     /// Of those, failed.
     pub failed: f64,
-    /// Answers of warm nodes, and the sum of their slowdowns: latency ratio over the usual one.
+    /// Answers of warm nodes and forwards to them that ended late without one, and the sum of their
+    /// slowdowns: latency ratio over the usual one, bounded for each.
     pub timed: f64,
     pub slowdown_sum: f64,
 }
@@ -47,7 +48,7 @@
     }
 }
 
-/// Counts by source (a node's index), in its order, each by path group.
+/// Counts by source (a node's index, or zero for the platform's counts), in its order, each by path group.
 pub type CountsBySource = Vec<(usize, Vec<OutcomeCounts>)>;
 
 /// Sum over all sources and path groups.
@@ -80,6 +81,7 @@
         }
     }
 
+    /// Forgets the intervals that started before a point in time.
     pub fn drop_before(&mut self, before: Time) {
         for row in self.rows.values_mut() {
             while row.front().is_some_and(|(start, _)| *start < before) {
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -8,6 +8,11 @@
 //! clock until they have seen enough outcomes, and vote back when the share is clearly exceeded.
 //! docs/design.md says when the exceptions act.
 //!
+//! Comments refer by number to rules that a marshal must never break:
+//! - Rule 2: no hit has its effect twice.
+//! - Rule 4: no marshal overloads a cold node.
+//! - Rule 5: forwards to a build on trial stay within the allowance plus the cap times the hits.
+//!
 //! Mechanisms beside the design:
 //! 1. Room: token buckets for exposure and for cold nodes; hits without room are held, then bounced.
 //! 2. Expected wait: a node is chosen by its latency estimate, its load, and its error score, which rises
@@ -22,24 +27,31 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-const WINDOW: Span = Span::millis(5_000); // of the evidence
+const WINDOW: Span = Span::millis(5_000); // of the outcomes by which a build is judged
 // The next four define the gate; see the design page.
 const SHARE_FLOOR: f64 = 0.05; // least expected share of bad outcomes
 const EXCESS_COUNT: f64 = 3.0; // bad outcomes past the expected number
 const EXCESS_RATIO: f64 = 1.5; // of the bad outcomes to the expected number
 const MIN_OUTCOMES: f64 = 20.0;
-const EXCESS_SIGMAS: f64 = 2.0; // standard deviations by which a single path group must stand out
+/// Standard deviations by which a single path group must stand out; where many votes are needed, all path
+/// groups together.
+const EXCESS_SIGMAS: f64 = 2.0;
 const HOLD_SPAN: Span = Span::millis(3_000); // from the start of a stage
 const VOTERS_PER_VOTE: usize = 3;
-const HOLDERS_PER_HOLD: f64 = 1.2;
+const HOLDERS_PER_HOLD: f64 = 1.2; // holding marshals per hold needed, and calls in a round per vote needed
 const KEPT_WINDOWS: f64 = 4.0; // evidence kept, for marshals whose traffic doesn't fill one window
 const INTERVAL_WINDOWS: f64 = 1.0 / 20.0; // evaluation interval, and time resolution of the evidence
-const IGNORED_WARM_UP_SHARE: f64 = 0.2; // of the warm-up; late outcomes are ignored for the whole of it
-const LATENCY_QUANTILE_DIVISOR: usize = 3; // 1/3 quantile of the recent answers, fastest first
-const RECENT_WINDOWS: f64 = 0.4; // where that span holds enough answers
+/// Share of the stated warm-up after a node's listed start in which its outcomes are ignored; late outcomes
+/// are ignored for the whole warm-up.
+const IGNORED_WARM_UP_SHARE: f64 = 0.2;
+/// The latency ratio of the whole fleet is the 1/3 quantile of its recent answers, fastest first.
+const LATENCY_QUANTILE_DIVISOR: usize = 3;
+/// Span of the recent answers, if it holds enough of them, else a whole window; and how long a vote back is
+/// wanted after its last reason.
+const RECENT_WINDOWS: f64 = 0.4;
 const COMPARABLE_LOAD_RATIO: f64 = 1.2; // ratio of work per node up to which answer times are compared
 const SLOW_INTERVALS: u32 = 7; // in a row, until the fleet counts as slowed down
-const MAX_SLOWDOWN: f64 = 2.0; // most that one answer counts, as a multiple of the usual time
+const MAX_SLOWDOWN: f64 = 2.0; // most that one answer counts, as a multiple of the usual time for like work
 const RENEW_SHARE: f64 = 0.6; // of a vote's lifetime
 const RENEW_SHARE_MANY_VOTES: f64 = 0.9; // each call that renews a vote is missing for another voter
 const WRONG_ANSWER_LOG_ODDS: f64 = 6.9; // a thousand to one that reports of wrong answers are right
@@ -48,10 +60,11 @@
 const MISTAKEN_REPORT_RATIO: f64 = 1.0 / 4.0;
 
 const OUTCOME_WEIGHT: f64 = 0.1; // of one outcome in a node's latency ratio
-const KIND_WEIGHT: f64 = 0.4; // of that, in the latency ratio of the node's kind
+const KIND_WEIGHT: f64 = 0.4; // factor on that weight, for the latency ratio of the node's kind
 const FAILURE_WEIGHT: f64 = 0.2; // of one failure in a node's error score
 const ERROR_SCORE_DECAY: Span = Span::millis(3_000); // time constant, so that a node is tried again
-const ERROR_COST_TARGETS: f64 = 2.0; // target latencies
+/// Target latencies, for an error score of 1 or for each earlier forward of the hit to the node.
+const ERROR_COST_TARGETS: f64 = 2.0;
 const ERROR_COST_TARGETS_MUTATING: f64 = 6.0; // for a hit that can't run again
 const SILENCE_WAITS: f64 = 5.0; // expected answer times without an answer that make a node silent
 const LOSS_RUN_PROBABILITY: f64 = 0.01; // of a run of lost answers, below which the node is suspected
@@ -61,7 +74,7 @@
 const COLD_LOAD_SHARE: f64 = 0.6; // of the multiple at which a cold node is overloaded
 const MAX_TRIAL_NODE_SHARES: f64 = 4.0; // most that a warm node of a build on trial gets, in fair shares
 const SUBSET_CONTACT_SPAN: Span = Span::millis(750); // within which each node of the subset should get a hit
-const MIN_SUBSET_WIDTH: usize = 5;
+const MIN_SUBSET_WIDTH: usize = 5; // nodes of a build and zone
 const HEDGE_DELAY_WAITS: f64 = 3.5; // expected answer times until a hedged request
 const HEDGE_DELAY_TARGET_SHARE: f64 = 0.6; // of the target latency, if that is sooner
 const RETRY_BUDGET_PER_HIT: f64 = 0.15; // retries and hedged requests per hit received
@@ -70,7 +83,8 @@
 const TENANT_BURST_HITS: f64 = 20.0; // within a tenant's share
 const HEDGE_COST: f64 = 5.0; // in retries, as the first forward's work still runs
 const MAX_HOLD_TARGET_SHARE: f64 = 0.1; // longest hold for room, of the target latency
-const RETRY_AFTER_TARGET_SHARE: f64 = 0.2; // then a bounced hit may still be answered in time
+/// Of the target latency: a hit that is sent again so soon after a bounce may still be answered in time.
+const RETRY_AFTER_TARGET_SHARE: f64 = 0.2;
 /// Most keys remembered as answered by the newest build: 57,344 fill a hash table of 64 Ki places, some
 /// 600 KB. Past it, new keys stay with the earlier build as long as that has nodes, since a forgotten key
 /// might return to the earlier build.
@@ -90,7 +104,7 @@
 
 impl HitHandling {
     /// Value of a hit for load shedding, 0 to 1: its benefit relative to the highest one, or 1 if
-    /// `value_blind`; reduced past its tenant's share of this marshal's traffic.
+    /// `value_blind` and the benefit isn't zero; reduced past its tenant's share of this marshal's traffic.
     fn value(&mut self, group: usize, tenant: usize, value_blind: bool) -> f64 {
         let best = self.groups.iter().map(|g| g.benefit).fold(f64::MIN_POSITIVE, f64::max);
         let benefit = self.groups[group].benefit;
@@ -197,9 +211,11 @@
     }
 
     /// Is the expected number of bad outcomes clearly exceeded: by 3 and by half again, as if at least 20
-    /// outcomes were in, the missing ones good? Rows are, by path group: the counts of outcomes, the expected
-    /// share of bad ones, and the number of outcomes of earlier builds behind that expectation. `kept_share`
-    /// is the share of the build's nodes that the counts cover.
+    /// outcomes were in, the missing ones good? Where many votes are needed: by two standard deviations,
+    /// three for a single path group, and by half again, with no outcomes filled in. Rows are, by path group:
+    /// the counts of outcomes, the expected share of bad ones, and the number of outcomes of earlier builds
+    /// behind that expectation. `kept_share` is the share of the build's nodes that the counts cover; the 3
+    /// and the 20 shrink with it.
     fn exceeds(rows: &[(OutcomeCounts, f64, f64)], kept_share: f64, many_votes: bool) -> bool {
         // All path groups together, then each by itself.
         std::iter::once(rows).chain(rows.chunks(1)).any(|part| {
@@ -257,7 +273,7 @@
             *expected = ((counts.bad + missing * fill_share) / (counts.total + missing)).max(floor);
         }
         // Unhealthy nodes are not the build's fault: it must fail clearly without its worst third of nodes,
-        // or without one more than look unhealthy elsewhere.
+        // or without one more than look unhealthy elsewhere, whichever are more.
         let is_unhealthy =
             |n: &&Node| n.build != build && n.error_score >= FAILURE_WEIGHT && !n.is_silent(now);
         let unhealthy = nodes.ready().filter(is_unhealthy).count();
@@ -308,7 +324,10 @@
             let shown: String = all_rows
                 .iter()
                 .map(|(c, share, known)| {
-                    format!(" {}/{} bad, expected {share:.2} from {known};", c.bad, c.total)
+                    format!(
+                        " {}/{} bad, expected share {share:.2} from {known} earlier outcomes;",
+                        c.bad, c.total
+                    )
                 })
                 .collect();
             return Some(format!("failing, by path group:{shown}"));
@@ -422,8 +441,8 @@
         (self.warm_up.initial_share + (1.0 - self.warm_up.initial_share) * age).min(1.0)
     }
 
-    /// Selects the subset of nodes in use: of each build and zone those that rank highest in a hash of this
-    /// marshal's number and theirs, as many as its traffic can keep in touch with. Assigns each its fair
+    /// Selects the subset of nodes in use: of each build and zone those with the lowest hashes of the node's
+    /// id and this marshal's number, as many as its traffic can keep in touch with. Assigns each its fair
     /// share of the hits.
     fn select_subset(&mut self) {
         let width = ((self.hit_rate * SUBSET_CONTACT_SPAN.seconds()) as usize).max(MIN_SUBSET_WIDTH);
@@ -448,9 +467,9 @@
         self.subset_width = width;
     }
 
-    /// Rule 4: a cold node accepts a hit whose random point on a ring falls into the node's share of it,
-    /// taken a multiple of times. The points of any number of marshals add up to the same load, where whole
-    /// credits for each marshal would make a burst.
+    /// Rule 4: a cold node accepts a hit only if the hit's random point on a ring falls into the node's share
+    /// of the ring, taken a multiple of times; so does a warm node of a build on trial. The points of any
+    /// number of marshals add up to the same load, where whole credits for each marshal would make a burst.
     fn accepts(
         &self, node: &Node, hit: &Hit, on_trial: bool, mean_work_seconds: f64, shed_share: f64, now: Time,
     ) -> bool {
@@ -619,7 +638,8 @@
         }
     }
 
-    /// A client reported a wrong answer of a node; `age` is how long ago the answer was given.
+    /// A client reported a wrong answer of a node; `age` is how long ago the answer was given. Ignored unless
+    /// it came from the node's present process and from the newest build.
     pub fn on_wrong_answer_report(&mut self, now: Time, node: u64, _group: usize, age: Span) {
         self.now = now;
         let node = self.fleet.nodes.index.get(node).map(|at| &self.fleet.nodes.rows[at]);
@@ -649,8 +669,8 @@
         let ring_point = self.rng.random_range(0.0..1.0);
         let slot = self.hits.insert(Hit::new(id, group, key, now, deadline, work_seconds, value, ring_point));
         host.set_timer(deadline - now, Timer::Deadline(id).token());
-        // The burst is a share of this marshal's traffic too: whole ones of many marshals would overload the
-        // fleet.
+        // The burst too is in proportion to this marshal's traffic: fixed ones of many marshals would
+        // together overload the fleet.
         let burst = (RETRY_BUDGET_PER_HIT * self.fleet.hit_rate * RETRY_BURST_SPAN.seconds()).max(HEDGE_COST);
         self.handling.retry_budget =
             (self.handling.retry_budget + RETRY_BUDGET_PER_HIT + self.fleet.lost_answer_share).min(burst);
@@ -736,8 +756,8 @@
                 f64::from(node.attributes.zone != list_settings.zone) * list_settings.cross_zone_cost;
             let penalty = ((error_score + attempts) * error_cost + zone_cost) * target_seconds;
             let cost = latency_cost * self.rng.random_range(0.9..1.1) + penalty;
-            // So that the gate gets its outcomes, hits that can run again ignore failures, and slowness until
-            // 20 outcomes are in.
+            // So that the gate gets its outcomes, hits that can run again ignore failures of the build on
+            // trial, and its slowness until 20 outcomes of the stage are in.
             let ignores_errors = first && group.effect == Effect::Repeatable && error_score < 1.0;
             let trial_cost = if ignores_errors { latency_cost * latency_weight } else { cost };
             let side = usize::from(trial.is_some() || Some(node.build) == newest);
@@ -808,7 +828,8 @@
         if self.gate.trial(build).is_some() {
             *self.exposure.bucket(build, hit.group) -= 1.0;
         }
-        // The higher the share of lost answers, the more in a row must be missing before it is the node.
+        // The higher the share of lost answers, the more in a row must be missing before the node is
+        // suspected.
         let losses_in_a_row =
             LOSS_RUN_PROBABILITY.ln() / self.fleet.lost_answer_share.clamp(SHARE_FLOOR, 0.5).ln();
         let node = &mut self.fleet.nodes.rows[at];
@@ -958,9 +979,9 @@
         node.error_score_updated_at = now;
     }
 
-    /// Records what an outcome says of its build: the design's evidence. Ignored are probes, the first
-    /// outcomes of a started node, late ones while it is cold, and missing answers of a node that is silent
-    /// since.
+    /// Records what an outcome says of its build: the design's evidence. Ignored are probes, forwards that
+    /// never ran or were cancelled in time, the first outcomes of a started node, late or missing answers
+    /// while it is cold, and missing answers of a node that has not been heard since.
     fn record_evidence(
         &mut self, forward: &Forward, group: usize, outcome: ForwardOutcome, latency: Span, work_seconds: f64,
     ) {
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -35,6 +35,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct PathGroup {
     pub effect: Effect,
+    /// Answers after this time are late.
     pub target_latency: Span,
     /// The target latency grows by this many times the hit's own work.
     pub target_stretch: f64,
@@ -42,6 +43,7 @@
     pub timeout: Span,
     /// Share of the benefit that an answer after the target latency still has.
     pub late_benefit: f64,
+    /// Benefit of an answer in time; only its ratio to that of other path groups counts.
     pub benefit: f64,
 }
 
@@ -56,7 +58,7 @@
     pub cancellation: bool,
     /// Longest retry-after that a bounced client obeys; zero where bounces carry none.
     pub max_retry_after: Span,
-    /// Calls of the host take effect up to this much later.
+    /// Calls to the host take effect up to this much later.
     pub tick: Span,
 }
 
@@ -103,6 +105,7 @@
     pub holds_needed: usize,
     /// How long a vote counts unless it is renewed.
     pub vote_lifetime: Span,
+    /// How long a call to the platform may take.
     pub call_timeout: Span,
     /// Calls per second that the platform takes from all marshals together.
     pub calls_per_s: f64,
--- a/src/state.rs
+++ b/src/state.rs
@@ -42,7 +42,7 @@
 pub enum Timer {
     /// The next evaluation interval.
     Evaluate,
-    /// Retry of a request for the node list.
+    /// Retry after a failed request for the node list.
     RequestList,
     /// Deadline of a hit, by its id.
     Deadline(u32),
@@ -164,7 +164,7 @@
     pub sent_since_heard: u32,
     /// Sending time of the newest forward that it answered.
     pub answered_sent_at: Time,
-    /// From when on no answer counts as silence; `NEVER` while too few forwards were sent.
+    /// Time after which a missing answer counts as silence; `NEVER` while too few forwards were sent.
     pub silence_deadline: Time,
     /// When it was last probed in spite of its error score.
     pub probed_at: Time,
@@ -434,7 +434,8 @@
     pub announced: Option<(u16, u8, BuildStatus, f64, Time)>,
     /// Outcomes of this marshal's forwards, by node.
     pub own_counts: OutcomeLog,
-    /// Recent answers of warm nodes: when, latency ratio, and build.
+    /// Recent answers of warm nodes, and forwards to them that ended late without one: when, latency ratio,
+    /// and build.
     pub recent_answers: VecDeque<(Time, f64, u16)>,
     /// Outcomes that the platform counted over all marshals.
     pub platform_counts: OutcomeLog,
