--- a/src/state.rs
+++ b/src/state.rs
@@ -46,7 +46,8 @@
     RequestList,
     /// Deadline of a hit, by its id.
     Deadline(u32),
-    /// Hedged request for a hit, by its id and the hop that it is sent beside.
+    /// Hedged request for a hit, by its id and the hop that it is sent beside. Where hedging is not permitted,
+    /// the hop is cancelled instead, if nodes allow that, so that a retry can follow.
     Hedge(u32, u8),
 }
 
@@ -385,7 +386,7 @@
     pub shedder: LoadShedder,
     /// Token buckets by tenant: hits that the tenant may still send within its share.
     pub tenant_credits: Vec<f64>,
-    /// Retries that may be sent now; hedged requests cost more than one.
+    /// Retries that may be sent now; a hedged request costs as much as one to five of them.
     pub retry_budget: f64,
     /// Mean expected work of a hit, in seconds.
     pub mean_work_seconds: f64,
@@ -460,7 +461,8 @@
     }
 }
 
-/// The nodes as last listed, the subset in use, and the traffic rates that decide on both.
+/// The nodes as last listed, the subset in use, and the traffic rates that decide on the subset and on what
+/// cold nodes may get.
 #[derive(Default)]
 pub struct Fleet {
     pub list_settings: NodeListSettings,
