--- a/src/state.rs
+++ b/src/state.rs
@@ -46,8 +46,8 @@
     RequestList,
     /// Deadline of a hit, by its id.
     Deadline(u32),
-    /// Hedged request for a hit, by its id and the hop that it is sent beside. Where hedging is not permitted,
-    /// the hop is cancelled instead, if nodes allow that, so that a retry can follow.
+    /// Hedged request for a hit, by its id and the hop that it is sent beside. Where hedging is not
+    /// permitted, the hop is cancelled instead, if nodes allow that, so that a retry can follow.
     Hedge(u32, u8),
 }
 
