--- a/src/state.rs
+++ b/src/state.rs
@@ -42,11 +42,12 @@
 pub enum Timer {
     /// The next evaluation interval.
     Evaluate,
-    /// Retry of a request for the node list.
+    /// Retry after a failed request for the node list.
     RequestList,
     /// Deadline of a hit, by its id.
     Deadline(u32),
-    /// Hedged request for a hit, by its id and the hop that it is sent beside.
+    /// Hedged request for a hit, by its id and the hop that it is sent beside. Where hedging is not
+    /// permitted, the hop is cancelled instead, if nodes allow that, so that a retry can follow.
     Hedge(u32, u8),
 }
 
@@ -164,7 +165,7 @@
     pub sent_since_heard: u32,
     /// Sending time of the newest forward that it answered.
     pub answered_sent_at: Time,
-    /// From when on no answer counts as silence; `NEVER` while too few forwards were sent.
+    /// Time after which a missing answer counts as silence; `NEVER` while too few forwards were sent.
     pub silence_deadline: Time,
     /// When it was last probed in spite of its error score.
     pub probed_at: Time,
@@ -385,7 +386,7 @@
     pub shedder: LoadShedder,
     /// Token buckets by tenant: hits that the tenant may still send within its share.
     pub tenant_credits: Vec<f64>,
-    /// Retries that may be sent now; hedged requests cost more than one.
+    /// Retries that may be sent now; a hedged request costs as much as one to five of them.
     pub retry_budget: f64,
     /// Mean expected work of a hit, in seconds.
     pub mean_work_seconds: f64,
@@ -434,7 +435,8 @@
     pub announced: Option<(u16, u8, BuildStatus, f64, Time)>,
     /// Outcomes of this marshal's forwards, by node.
     pub own_counts: OutcomeLog,
-    /// Recent answers of warm nodes: when, latency ratio, and build.
+    /// Recent answers of warm nodes, and forwards to them that ended late without one: when, latency ratio,
+    /// and build.
     pub recent_answers: VecDeque<(Time, f64, u16)>,
     /// Outcomes that the platform counted over all marshals.
     pub platform_counts: OutcomeLog,
@@ -451,15 +453,16 @@
 }
 
 impl ReleaseGate {
-    /// Latency ratio at the 1/`parts` quantile of the recent answers, fastest first.
-    pub fn latency_ratio_quantile(&self, parts: usize) -> f64 {
+    /// Latency ratio at the 1/`divisor` quantile of the recent answers, fastest first.
+    pub fn latency_ratio_quantile(&self, divisor: usize) -> f64 {
         let mut ratios: Vec<f64> = self.recent_answers.iter().map(|a| a.1).collect();
         ratios.sort_by(f64::total_cmp);
-        ratios[ratios.len() / parts]
+        ratios[ratios.len() / divisor]
     }
 }
 
-/// The nodes as last listed, the subset in use, and the traffic rates that decide on both.
+/// The nodes as last listed, the subset in use, and the traffic rates that decide on the subset and on what
+/// cold nodes may get.
 #[derive(Default)]
 pub struct Fleet {
     pub list_settings: NodeListSettings,
