--- a/crates/marshal/src/client.rs
+++ b/crates/marshal/src/client.rs
@@ -59,7 +59,8 @@
     first_sequence: Cell<u64>,
     write_buffer: RefCell<Buffer>,
     accepted_at: Time,
-    /// When the client last accepted reply bytes, or was offered any.
+    /// When the client last accepted reply bytes or was last offered a reply; at first when the connection was
+    /// accepted.
     last_activity: Cell<Time>,
     /// Whether a complete command was received on it.
     pub has_sent_command: Cell<bool>,
--- a/crates/marshal/src/clients.rs
+++ b/crates/marshal/src/clients.rs
@@ -96,7 +96,7 @@
         self.count.get()
     }
 
-    /// Has every connection closed as soon as it is idle.
+    /// Requests that every connection is closed as soon as it is idle.
     pub fn close_when_idle(&self) {
         for client in self.registry.connected() {
             client.closing.set(true);
--- a/crates/marshal/src/clock.rs
+++ b/crates/marshal/src/clock.rs
@@ -22,6 +22,7 @@
         self.unix + Span::nanos(nanos(self.start.elapsed()))
     }
 
+    /// Converts a time to an `Instant`; one before the start of the clock becomes the start.
     pub fn instant(&self, at: Time) -> Instant {
         self.start + duration(at - self.unix)
     }
--- a/crates/marshal/src/command.rs
+++ b/crates/marshal/src/command.rs
@@ -49,7 +49,7 @@
         String::from_utf8_lossy(&self.block.as_slice()[self.request.id_range.clone()])
     }
 
-    /// Passes the command to `write` as slices, with `wait` as its stated wait.
+    /// Passes the command to `write` as slices, with `wait` in place of the wait that the client stated.
     pub fn with_pieces<R>(&self, wait: Span, write: impl FnOnce(&[&[u8]]) -> R) -> R {
         let (bytes, HitRequest { attributes, wait_range, .. }) = (self.block.as_slice(), &self.request);
         let wait = (wait.as_nanos() / 1_000_000).max(1).to_string();
@@ -111,7 +111,9 @@
     Ok(Request::Hit(request))
 }
 
-/// Parses the attribute list, the third argument; works also on a command whose body has not been received.
+/// Parses the attribute list, the third argument: `c` the class (path group), `t` the tenant, `d` the wait in
+/// milliseconds, `k` the tag by which nodes drop repeats; others are ignored. Works also on a command whose body
+/// has not been received.
 pub fn parse_attributes(bytes: &[u8], elements: &[Element], names: &WireNames) -> Result<HitRequest, String> {
     let argument = |index: usize| elements.get(index).map(|e| &bytes[e.payload.clone()]).unwrap_or_default();
     let attributes = elements.get(3).ok_or("attribute list is missing")?;
@@ -161,10 +163,10 @@
     })
 }
 
-/// Reply to a bounced hit; with a zero `retry_in` it states no retry-after time.
-pub fn bounced_reply(retry_in: Span) -> Vec<u8> {
+/// Reply to a bounced hit; with a zero `retry_after` it states no retry-after time.
+pub fn bounced_reply(retry_after: Span) -> Vec<u8> {
     let mut reply = Vec::new();
-    match retry_in.as_nanos().div_ceil(1_000_000) {
+    match retry_after.as_nanos().div_ceil(1_000_000) {
         0 => resp::write_error(&mut reply, "BUSY"),
         ms => resp::write_error(&mut reply, &format!("BUSY {ms}")),
     }
--- a/crates/marshal/src/core.rs
+++ b/crates/marshal/src/core.rs
@@ -1,5 +1,5 @@
-//! The core task: sole owner of the decision module, its timers and the numbers of hits. Socket tasks reach
-//! it only through the inbox; the module's calls on its host are carried out here.
+//! The core task: sole owner of the decision module, its timers and the numbers that identify hits. Socket
+//! tasks reach it only through the inbox; the module's calls on its host are carried out here.
 
 use crate::client::{Client, Reply};
 use crate::clock::Clock;
@@ -68,10 +68,11 @@
     hits: Slots<PendingHit>,
     hits_received: u64,
     ledger: Ledger,
-    /// Node numbers by listed id, and numbers free for reuse.
+    /// Node numbers by listed id, with the memory charge of each node's records.
     node_numbers: HashMap<String, (usize, Charge)>,
     /// Whether room for nodes was already reclaimed while applying the current list.
     reclaimed_for_list: bool,
+    /// Numbers of dropped nodes, free for reuse.
     free_numbers: Vec<usize>,
     inbox: Rc<Inbox>,
     nodes: NodePool,
@@ -200,13 +201,13 @@
         }
     }
 
-    fn bounce(&mut self, hit: u32, retry_in: Span) {
-        self.reply(hit, || command::bounced_reply(retry_in));
+    fn bounce(&mut self, hit: u32, retry_after: Span) {
+        self.reply(hit, || command::bounced_reply(retry_after));
     }
 
-    fn report_give_up(&mut self, hit: u32, why: GiveUpReason) {
+    fn report_give_up(&mut self, hit: u32, reason: GiveUpReason) {
         if let Some(pending) = self.hits.get(hit) {
-            trace!("hit {} given up: {why:?}, {} forwards", pending.command.id(), pending.forwards.len());
+            trace!("hit {} given up: {reason:?}, {} forwards", pending.command.id(), pending.forwards.len());
         }
     }
 
@@ -231,8 +232,8 @@
         self.discovery.fetch();
     }
 
-    fn set_timer(&mut self, wait: Span, token: u64) {
-        let handle = self.timers.schedule(self.now + wait, TimerEvent::MarshalTimer(token));
+    fn set_timer(&mut self, delay: Span, token: u64) {
+        let handle = self.timers.schedule(self.now + delay, TimerEvent::MarshalTimer(token));
         match Timer::from(token) {
             Timer::Deadline(hit) => {
                 self.hits.get_mut(hit).map(|pending| pending.deadline_timer = Some(handle))
--- a/crates/marshal/src/discovery.rs
+++ b/crates/marshal/src/discovery.rs
@@ -25,18 +25,18 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Room for a list of some twenty thousand nodes, which is sent as one line.
 const MAX_LINE_BYTES: usize = 4 << 20;
-/// A line may take up one part in four of discovery's memory cap, as it is held beside the next line and its own
+/// A line may take up one part in this many of discovery's memory cap, as it is held beside the next line and its own
 /// entries.
 const LINE_BUDGET_DIVISOR: usize = 4;
 /// Bytes charged for the parsed entries per byte of their text: address, locality and times take less room parsed.
 const ENTRY_BYTES_PER_TEXT_BYTE: usize = 1;
 
-/// Sends requests to discovery and passes the lists that it returns to the inbox.
+/// Sends requests to discovery, and passes the lists received to the inbox.
 pub struct Discovery {
     addr: Cell<SocketAddr>,
-    names: Rc<LocalityNames>,
+    locality_names: Rc<LocalityNames>,
     inbox: Rc<Inbox>,
-    tasks: Rc<LocalExecutor<'static>>,
+    executor: Rc<LocalExecutor<'static>>,
     /// Version of the node list last received.
     version: Rc<Cell<Option<u64>>>,
     watch: RefCell<Option<Task<()>>>,
@@ -69,8 +69,9 @@
             "removed" => Readiness::Gone,
             other => return Err(format!("state '{other}' is unknown")),
         };
-        // An unknown zone or kind gets an index of its own, which equals no known one.
-        let locality = NodeAttributes {
+        // All unknown zones share one index, as do all unknown kinds; no known kind has that index, nor
+        // any of the first 255 zones.
+        let attributes = NodeAttributes {
             zone: index_of(&self.zones, &server.zone)
                 .and_then(|index| u8::try_from(index).ok())
                 .unwrap_or(u8::MAX),
@@ -81,8 +82,8 @@
         let build = Some(server.image_id)
             .filter(|b| (0.0..65536.0).contains(b))
             .ok_or("image_id is not a build number")?;
-        let started = Time::at((server.started_ms.unwrap_or(0.0) as u64).saturating_mul(1_000_000));
-        Ok((server.id.clone().into_owned(), addr, locality, readiness, build as u16, started))
+        let started_at = Time::at((server.started_ms.unwrap_or(0.0) as u64).saturating_mul(1_000_000));
+        Ok((server.id.clone().into_owned(), addr, attributes, readiness, build as u16, started_at))
     }
 
     /// Returns the version of a list object, whether it is the full list, and its entries. One invalid entry makes
@@ -124,13 +125,24 @@
 impl Discovery {
     /// `version` is that of the node list already held, from which a watch continues.
     pub fn new(
-        addr: SocketAddr, names: Rc<LocalityNames>, inbox: Rc<Inbox>, tasks: Rc<LocalExecutor<'static>>,
-        version: Option<u64>, ledger: Ledger,
+        addr: SocketAddr, locality_names: Rc<LocalityNames>, inbox: Rc<Inbox>,
+        executor: Rc<LocalExecutor<'static>>, version: Option<u64>, ledger: Ledger,
     ) -> Self {
         let version = Rc::new(Cell::new(version));
         let (watch, fetch, previous_watch) = (RefCell::default(), RefCell::default(), Rc::default());
         let (addr, newest_request) = (Cell::new(addr), Rc::default());
-        Discovery { addr, names, inbox, tasks, version, watch, fetch, previous_watch, newest_request, ledger }
+        Discovery {
+            addr,
+            locality_names,
+            inbox,
+            executor,
+            version,
+            watch,
+            fetch,
+            previous_watch,
+            newest_request,
+            ledger,
+        }
     }
 
     /// Sends requests to `addr` from now on. The open watch goes on until the new address has delivered a list, so
@@ -151,18 +163,19 @@
         if on {
             let since = self.version.get().map_or(String::new(), |version| format!("&since={version}"));
             let request = self.request(format!("/v1/endpoints?follow=1{since}"));
-            *self.watch.borrow_mut() = Some(self.tasks.spawn(request.run()));
+            *self.watch.borrow_mut() = Some(self.executor.spawn(request.run()));
         }
     }
 
     /// Requests the full list, in place of any running request for it.
     pub fn fetch(&self) {
         let request = self.request("/v1/endpoints".into());
-        *self.fetch.borrow_mut() = Some(self.tasks.spawn(request.run()));
+        *self.fetch.borrow_mut() = Some(self.executor.spawn(request.run()));
     }
 
     fn request(&self, path: String) -> Request {
-        let (names, inbox, version) = (self.names.clone(), self.inbox.clone(), self.version.clone());
+        let (locality_names, inbox, version) =
+            (self.locality_names.clone(), self.inbox.clone(), self.version.clone());
         let (previous_watch, newest_request) = (self.previous_watch.clone(), self.newest_request.clone());
         let number = newest_request.get() + 1;
         newest_request.set(number);
@@ -171,7 +184,7 @@
             addr: self.addr.get(),
             path,
             number,
-            names,
+            locality_names,
             inbox,
             version,
             previous_watch,
@@ -185,7 +198,7 @@
     addr: SocketAddr,
     path: String,
     number: u64,
-    names: Rc<LocalityNames>,
+    locality_names: Rc<LocalityNames>,
     inbox: Rc<Inbox>,
     version: Rc<Cell<Option<u64>>>,
     previous_watch: Rc<RefCell<Option<Task<()>>>>,
@@ -195,8 +208,8 @@
 
 impl Request {
     async fn run(self) {
-        if let Err(why) = self.read_response().await {
-            info!("discovery: {why}");
+        if let Err(error) = self.read_response().await {
+            info!("discovery: {error}");
             if self.is_newest() {
                 self.inbox.push_control_event(ControlEvent::ListFailed);
             }
@@ -207,7 +220,7 @@
         self.newest_request.get() == self.number
     }
 
-    /// Sends the request and applies each line of the response as it arrives. An error says why it is to be repeated;
+    /// Sends the request and applies each line of the response as it arrives. An error says why the request failed;
     /// a watch always ends with one.
     async fn read_response(&self) -> Result<(), String> {
         let stream = connect(self.addr, CONNECT_TIMEOUT).await.map_err(|e| format!("connect failed: {e}"))?;
@@ -244,8 +257,8 @@
             charge.resize(held_bytes(&lines, &line)).map_err(|_| "no room for the list")?;
             if finished {
                 let complete = response.is_complete() || response.is_close_delimited();
-                let watch = self.path.contains("follow");
-                return if complete && !watch { Ok(()) } else { Err("closed by discovery".into()) };
+                let is_watch = self.path.contains("follow");
+                return if complete && !is_watch { Ok(()) } else { Err("closed by discovery".into()) };
             }
         }
     }
@@ -278,7 +291,7 @@
         let charge = self.ledger.charge(Purpose::Discovery, line.len() * ENTRY_BYTES_PER_TEXT_BYTE);
         let charge = charge.map_err(|_| "no room for the entries of the list")?;
         let list: List = serde_json::from_slice(line).map_err(|e| format!("invalid line: {e}"))?;
-        let (version, full, entries) = self.names.parse_list(list)?;
+        let (version, full, entries) = self.locality_names.parse_list(list)?;
         if !full && self.version.get().is_some_and(|current| version < current) {
             // The changes don't apply to the list held, so that the next request is for the full list.
             self.version.set(None);
--- a/crates/marshal/src/endings.rs
+++ b/crates/marshal/src/endings.rs
@@ -18,15 +18,17 @@
     NeverUp,
     /// No file descriptor, local address or memory was left for a connection.
     NoSocket,
-    /// The node closed the connection.
+    /// The node closed the connection, or sent input on it that no forward had asked for.
     Closed,
     /// The connection failed with an I/O error.
     Broken,
-    /// The node's bytes were not a valid reply to any forward sent.
+    /// The node's bytes were not a valid reply to any forward sent, the rest of a reply did not arrive in time, or there
+    /// was no memory for the value.
     Garbled,
     /// The node was listed with a start time later than the connection's opening.
     Restarted,
-    /// The node was listed as draining or removed before the forward was written.
+    /// The node was listed as draining, as removed or with another address, or left out of a full list, before the
+    /// forward was written.
     Withdrawn,
     /// The node is not in the list, or the hit was already answered.
     NoSuchNode,
@@ -34,7 +36,8 @@
     WaitedOut,
     /// The decision module cancelled the forward.
     CalledOff,
-    /// The connection exceeded its idle time.
+    /// The connection was closed while idle: it exceeded its idle time, it was drained, or a connection to another node
+    /// needed its place.
     Idle,
 }
 
--- a/crates/marshal/src/logger.rs
+++ b/crates/marshal/src/logger.rs
@@ -17,7 +17,8 @@
 
 /// Longest line; longer ones are truncated.
 const MAX_LINE_BYTES: usize = 2 * 1024;
-/// Most bytes that may be queued, however large the log's memory is: some thousand lines, as older ones are of no use.
+/// Maximum number of bytes that may be queued, however large the log's memory is: some thousand lines, as older ones
+/// are of no use.
 const MAX_QUEUED_BYTES: usize = 256 * 1024;
 /// Memory that a queued line occupies besides its text.
 const LINE_OVERHEAD_BYTES: usize = 64;
@@ -43,26 +44,26 @@
 
 /// Writes the lines and subtracts their size from the queued bytes.
 struct CountingWriter<W> {
-    out: W,
+    inner: W,
     queued_bytes: Arc<AtomicUsize>,
 }
 
 impl<W: Write> Write for CountingWriter<W> {
     /// Each queued line is passed in one call.
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
-        let result = self.out.write_all(line);
+        let result = self.inner.write_all(line);
         self.queued_bytes.fetch_sub(line.len() + LINE_OVERHEAD_BYTES, Ordering::Relaxed);
         result.map(|()| line.len())
     }
 
     fn flush(&mut self) -> io::Result<()> {
-        self.out.flush()
+        self.inner.flush()
     }
 }
 
-/// Starts the log with at most `lines_per_second`; lines of at most `memory` bytes are queued.
-pub fn start(level: LevelFilter, format: LogFormat, lines_per_second: u32, memory: usize) -> LogHandle {
-    let (writer, log) = limited_writer(io::stderr(), format, lines_per_second, memory);
+/// Starts the log with at most `lines_per_second`; lines of at most `memory_bytes` in all are queued.
+pub fn start(level: LevelFilter, format: LogFormat, lines_per_second: u32, memory_bytes: usize) -> LogHandle {
+    let (writer, log) = limited_writer(io::stderr(), format, lines_per_second, memory_bytes);
     let builder = tracing_subscriber::fmt().with_max_level(level).with_writer(writer);
     // Fails only if a global subscriber is set already; the log is started once per process.
     let _ = match format {
@@ -75,23 +76,24 @@
 }
 
 fn limited_writer(
-    out: impl Write + Send + 'static, format: LogFormat, lines_per_second: u32, memory: usize,
+    out: impl Write + Send + 'static, format: LogFormat, lines_per_second: u32, memory_bytes: usize,
 ) -> (LimitedWriter, LogHandle) {
-    let (memory, queued_bytes) = (memory.min(MAX_QUEUED_BYTES), Arc::new(AtomicUsize::new(0)));
-    let writer = CountingWriter { out, queued_bytes: queued_bytes.clone() };
+    let (max_queued_bytes, queued_bytes) =
+        (memory_bytes.min(MAX_QUEUED_BYTES), Arc::new(AtomicUsize::new(0)));
+    let writer = CountingWriter { inner: out, queued_bytes: queued_bytes.clone() };
     // The bytes are the effective limit: the queue never reaches this many lines, so that none is dropped uncounted.
-    let max_lines = memory / LINE_OVERHEAD_BYTES + 1;
-    let (out, guard) =
+    let max_lines = max_queued_bytes / LINE_OVERHEAD_BYTES + 1;
+    let (queue, guard) =
         NonBlockingBuilder::default().buffered_lines_limit(max_lines).lossy(true).finish(writer);
     let lines_per_second = Arc::new(AtomicU32::new(lines_per_second));
     let window = Arc::new(Mutex::new(RateWindow { start: Instant::now(), lines: 0, left_out: 0 }));
     let json = format == LogFormat::Json;
     let writer = LimitedWriter {
-        out,
+        queue,
         lines_per_second: lines_per_second.clone(),
         window,
         json,
-        memory,
+        max_queued_bytes,
         queued_bytes: queued_bytes.clone(),
     };
     (writer, LogHandle { _guard: guard, lines_per_second, queued_bytes })
@@ -133,12 +135,12 @@
 /// Queues lines for the writer thread within the rate limit and the memory limit; lines that are left out are counted,
 /// and the next line states their number.
 struct LimitedWriter {
-    out: NonBlocking,
+    queue: NonBlocking,
     lines_per_second: Arc<AtomicU32>,
     window: Arc<Mutex<RateWindow>>,
     json: bool,
-    /// Most bytes that may be queued, and the bytes that are.
-    memory: usize,
+    /// Maximum number of bytes that may be queued, and the number that are, with the overhead of each line.
+    max_queued_bytes: usize,
     queued_bytes: Arc<AtomicUsize>,
 }
 
@@ -172,17 +174,17 @@
             let over_rate =
                 window.lines > self.writer.lines_per_second.load(Ordering::Relaxed) && !self.exempt;
             // The longest that this line can become, with the count of lines left out before it.
-            let full = self.writer.queued_bytes.load(Ordering::Relaxed)
+            let queue_full = self.writer.queued_bytes.load(Ordering::Relaxed)
                 + MAX_LINE_BYTES.max(line.len())
                 + 2 * LINE_OVERHEAD_BYTES
-                > self.writer.memory;
-            if over_rate || full {
+                > self.writer.max_queued_bytes;
+            if over_rate || queue_full {
                 window.left_out += 1;
                 return Ok(line.len());
             }
             std::mem::take(&mut window.left_out)
         };
-        let mut out = self.writer.out.clone();
+        let mut queue = self.writer.queue.clone();
         let text = line.strip_suffix(b"\n").unwrap_or(line);
         // A truncated JSON line would be invalid.
         let text =
@@ -196,7 +198,7 @@
         }
         full_line.push(b'\n');
         self.writer.queued_bytes.fetch_add(full_line.len() + LINE_OVERHEAD_BYTES, Ordering::Relaxed);
-        out.write_all(&full_line)?;
+        queue.write_all(&full_line)?;
         Ok(line.len())
     }
 
--- a/crates/marshal/src/main.rs
+++ b/crates/marshal/src/main.rs
@@ -66,8 +66,8 @@
     let command_line = CommandLine::parse();
     match run(command_line.command) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(why) => {
-            eprintln!("stonescale: {why}");
+        Err(error) => {
+            eprintln!("stonescale: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/marshal/src/nodes.rs
+++ b/crates/marshal/src/nodes.rs
@@ -103,8 +103,8 @@
         self.stream.borrow().as_ref().is_none_or(|stream| is_open_without_input(stream))
     }
 
-    /// Sends a forward: writes as much as the socket accepts now and queues the rest if there is room. A
-    /// forward written only in part closes the connection.
+    /// Sends a forward: writes as much as the socket accepts now and queues the rest. If there is no
+    /// room for the rest of a forward already written in part, the connection is closed.
     fn send(&self, hit: u32, hop: u8, command: &Command, wait: Span) -> Result<(), EndReason> {
         let mut write_buffer = self.write_buffer.borrow_mut();
         command.with_pieces(wait, |pieces| {
@@ -255,7 +255,7 @@
         self.nodes.get(node).and_then(Option::as_ref).map_or(unspecified, |s| s.addr)
     }
 
-    /// Sends a hit's command to a node, with `wait` as its stated wait.
+    /// Sends a hit's command to a node, stating `wait` as the time for which the reply is awaited.
     pub fn forward(
         &mut self, node: usize, hit: u32, hop: u8, command: &Command, wait: Span,
     ) -> Result<Rc<NodeConnection>, EndReason> {
@@ -285,10 +285,10 @@
             let shared = state.connections.iter().filter(|c| !c.draining.get() && !c.is_idle());
             let shared = shared.filter(|c| c.pending.borrow().len() < self.max_pipelined);
             if let Some(connection) = shared.min_by_key(|c| c.pending.borrow().len()).cloned() {
-                // A node that does not read must not use up the queue memory shared with the other nodes.
-                let queued_bytes: usize =
+                // A node that does not read must not use up the memory for queued bytes that all nodes share.
+                let charged_bytes: usize =
                     state.connections.iter().map(|c| c.write_buffer.borrow().charged_bytes()).sum();
-                if queued_bytes > self.ledger.cap(Purpose::NodeConnections) / NODE_QUEUE_DIVISOR {
+                if charged_bytes > self.ledger.cap(Purpose::NodeConnections) / NODE_QUEUE_DIVISOR {
                     return Err(EndReason::NoSocket);
                 }
                 connection.send(hit, hop, command, wait)?;
--- a/crates/marshal/src/platform.rs
+++ b/crates/marshal/src/platform.rs
@@ -36,7 +36,7 @@
     id: u64,
     params: Value,
     deadline: Instant,
-    /// Number of the endpoint that sends it, and the byte offset in that connection's output at which it ends; none
+    /// Number of the endpoint that sends it, and the byte offset in that connection's output at which it ends; `None`
     /// while no endpoint has queued it.
     assigned: Option<(u64, u64)>,
 }
@@ -57,7 +57,7 @@
 /// The platform's votes and notifications, over one connection for each address in use.
 pub struct Platform {
     inbox: Rc<Inbox>,
-    tasks: Rc<LocalExecutor<'static>>,
+    executor: Rc<LocalExecutor<'static>>,
     call_timeout: Span,
     groups: Vec<String>,
     seed: u64,
@@ -100,11 +100,11 @@
 impl Platform {
     /// `groups` are the path groups' names in the order of their indices; `seed` determines the backoff jitter.
     pub fn new(
-        inbox: Rc<Inbox>, tasks: Rc<LocalExecutor<'static>>, call_timeout: Span, groups: Vec<String>,
+        inbox: Rc<Inbox>, executor: Rc<LocalExecutor<'static>>, call_timeout: Span, groups: Vec<String>,
         seed: u64, ledger: Ledger,
     ) -> Rc<Self> {
         let (last_id, votes, endpoints) = (Cell::new(0), RefCell::default(), RefCell::default());
-        Rc::new(Platform { inbox, tasks, call_timeout, groups, seed, ledger, last_id, votes, endpoints })
+        Rc::new(Platform { inbox, executor, call_timeout, groups, seed, ledger, last_id, votes, endpoints })
     }
 
     /// Connects to the platform at `addr` from now on. A connection that has delivered messages is kept until the new
@@ -113,10 +113,10 @@
     pub fn set_address(self: &Rc<Self>, addr: SocketAddr) {
         let (number, received, retired) = (self.next_id(), Cell::new(false), Cell::new(false));
         let endpoint = Rc::new(Endpoint { number, addr, received, retired, signal: Signal::default() });
-        let before = self.endpoints.borrow().clone();
-        before.iter().filter(|other| !other.received.get()).for_each(|other| self.retire(other));
+        let previous = self.endpoints.borrow().clone();
+        previous.iter().filter(|other| !other.received.get()).for_each(|other| self.retire(other));
         self.endpoints.borrow_mut().push(endpoint.clone());
-        self.tasks.spawn(self.clone().run(endpoint)).detach();
+        self.executor.spawn(self.clone().run(endpoint)).detach();
     }
 
     fn retire(&self, endpoint: &Endpoint) {
@@ -128,7 +128,7 @@
         self.endpoints.borrow().last().is_some_and(|last| last.number == endpoint.number)
     }
 
-    /// Queues a vote on this stage of the build; the outcome arrives in the inbox as `News::Stage`.
+    /// Queues a vote on this stage of the build; the outcome arrives in the inbox as `ControlEvent::Stage`.
     pub fn vote(&self, build: u16, stage: u8, verdict: Verdict) {
         let verdict = match verdict {
             Verdict::None => "blank",
@@ -159,11 +159,11 @@
         let mut backoff = INITIAL_BACKOFF;
         loop {
             let mut connection = ConnectionState::new(&self.ledger);
-            let why = match self.connect(&endpoint).await {
+            let reason = match self.connect(&endpoint).await {
                 Ok(stream) => self.exchange(&endpoint, &stream, &mut connection).await,
                 Err(e) => format!("connect failed: {e}"),
             };
-            info!("platform: {why}");
+            info!("platform: {reason}");
             // A vote that was written completely may have been carried out; the others go out on the next connection.
             let mut lost = 0;
             self.votes.borrow_mut().retain_mut(|vote| {
@@ -254,7 +254,7 @@
     ) -> String {
         let subscription = self.next_id();
         connection.queue_request(subscription, "subscribe", Value::Null);
-        let (mut lines, mut text, mut scratch) =
+        let (mut lines, mut line, mut scratch) =
             (LineBuffer::new(MAX_LINE_BYTES), Vec::new(), vec![0; 4 * 1024]);
         let mut charge = self.ledger.empty_charge(Purpose::Platform);
         let mut silent_at = Instant::now() + SILENCE_TIMEOUT;
@@ -270,8 +270,14 @@
                 return format!("connection failed: {e}");
             }
             let deadline = self.next_deadline(endpoint).map_or(silent_at, |deadline| deadline.min(silent_at));
-            match wait_for_wakeup(stream, true, !connection.out.is_empty(), &endpoint.signal, Some(deadline))
-                .await
+            match wait_for_wakeup(
+                stream,
+                true,
+                !connection.write_buffer.is_empty(),
+                &endpoint.signal,
+                Some(deadline),
+            )
+            .await
             {
                 Wakeup::DeadlineReached if Instant::now() >= silent_at => {
                     return format!("nothing received for {SILENCE_TIMEOUT:?}");
@@ -281,7 +287,7 @@
                     Ok(Some([])) => return "closed by the platform".into(),
                     Ok(Some(bytes)) => {
                         lines.feed(bytes);
-                        if charge.resize(lines.allocated_bytes() + text.capacity()).is_err() {
+                        if charge.resize(lines.allocated_bytes() + line.capacity()).is_err() {
                             return "no room for received data".into();
                         }
                     }
@@ -290,20 +296,20 @@
                 _ => {}
             }
             loop {
-                match lines.next_line(&mut text) {
+                match lines.next_line(&mut line) {
                     Ok(true) => {
                         let mut receiver =
                             MessageReceiver { platform: self, endpoint, subscription, invalid: None };
-                        let read = json_rpc::dispatch_message(&text, &mut receiver).map_err(str::to_owned);
+                        let read = json_rpc::dispatch_message(&line, &mut receiver).map_err(str::to_owned);
                         // After an unreadable line the connection is closed: a notification lost with it would
                         // otherwise be waited for in vain.
-                        if let Err(why) = read.and(receiver.invalid.map_or(Ok(()), Err)) {
-                            return format!("invalid message: {why}");
+                        if let Err(error) = read.and(receiver.invalid.map_or(Ok(()), Err)) {
+                            return format!("invalid message: {error}");
                         }
                         (silent_at, connection.received) = (Instant::now() + SILENCE_TIMEOUT, true);
                     }
                     Ok(false) => break,
-                    Err(why) => return why.into(),
+                    Err(error) => return error.into(),
                 }
             }
         }
@@ -323,7 +329,7 @@
 
 /// Output of one connection, and whether it has received anything.
 struct ConnectionState {
-    out: Buffer,
+    write_buffer: Buffer,
     queued_bytes: u64,
     written_bytes: u64,
     /// Whether a message was received on this connection.
@@ -333,7 +339,7 @@
 impl ConnectionState {
     fn new(ledger: &Ledger) -> Self {
         ConnectionState {
-            out: Buffer::with_prepaid(ledger, Purpose::Platform),
+            write_buffer: Buffer::with_prepaid(ledger, Purpose::Platform),
             queued_bytes: 0,
             written_bytes: 0,
             received: false,
@@ -344,13 +350,13 @@
     fn queue_request(&mut self, id: u64, method: &str, params: Value) -> Option<u64> {
         let mut text = Vec::new();
         json_rpc::write_request(&mut text, id, method, params);
-        self.out.extend(&text).ok()?;
+        self.write_buffer.extend(&text).ok()?;
         self.queued_bytes += text.len() as u64;
         Some(self.queued_bytes)
     }
 
     fn flush(&mut self, stream: &Async<TcpStream>) -> std::io::Result<()> {
-        write_available(stream, &mut self.out, &mut self.written_bytes).map(|_| ())
+        write_available(stream, &mut self.write_buffer, &mut self.written_bytes).map(|_| ())
     }
 }
 
@@ -367,9 +373,9 @@
     /// Removes the vote with this id; false if there is none or its deadline has passed.
     fn remove_vote(&self, id: u64) -> bool {
         let mut votes = self.platform.votes.borrow_mut();
-        let before = votes.len();
+        let previous_count = votes.len();
         votes.retain(|vote| vote.id != id);
-        votes.len() < before
+        votes.len() < previous_count
     }
 }
 
@@ -383,9 +389,9 @@
             Ok(stage) => {
                 self.platform.inbox.push_control_event(ControlEvent::Stage(stage, Some(ForwardOutcome::Ok)))
             }
-            Err(why) => {
+            Err(error) => {
                 self.platform.report_failed_vote(ForwardOutcome::TimedOut);
-                self.invalid = Some(why);
+                self.invalid = Some(error);
             }
         }
     }
@@ -427,7 +433,7 @@
             },
             "progress" => match parse_stage(params) {
                 Ok(stage) => self.platform.inbox.push_control_event(ControlEvent::Stage(stage, None)),
-                Err(why) => self.invalid = Some(why),
+                Err(error) => self.invalid = Some(error),
             },
             "complaint" => {
                 let age = number("age_ms").map(|ms| Span::from_seconds(ms.max(0.0) / 1e3));
--- a/crates/marshal/src/reactor.rs
+++ b/crates/marshal/src/reactor.rs
@@ -252,11 +252,11 @@
 }
 
 /// Runs all tasks on this thread until `main` has finished. An error is that of epoll.
-pub fn run(tasks: &LocalExecutor<'static>, main: impl Future<Output = ()> + 'static) -> io::Result<()> {
-    let main = tasks.spawn(main);
+pub fn run(executor: &LocalExecutor<'static>, main: impl Future<Output = ()> + 'static) -> io::Result<()> {
+    let main = executor.spawn(main);
     let (mut events, mut woken) = (Vec::with_capacity(MAX_EVENTS), Vec::new());
     while !main.is_finished() {
-        let busy = (0..MAX_TASK_POLLS).take_while(|_| tasks.try_tick()).count() == MAX_TASK_POLLS;
+        let busy = (0..MAX_TASK_POLLS).take_while(|_| executor.try_tick()).count() == MAX_TASK_POLLS;
         wait_for_events(
             &mut events,
             &mut woken,
--- a/crates/marshal/src/serve.rs
+++ b/crates/marshal/src/serve.rs
@@ -67,7 +67,7 @@
 fn validate(root: &Value, operator: &OperatorSettings) -> Result<(String, Plan), String> {
     let (name, listen, discovery) = startup::identity(root)?;
     startup::seed(root)?;
-    let ((clients, _), links, memory) = startup::limits(root)?;
+    let ((clients, _), node_connections, memory_bytes) = startup::limits(root)?;
     let (platform, news) = startup::platform(root)?;
     platform::parse_stage(news).map_err(|e| format!("platform.news: {e}"))?;
     let settings = startup::settings(root)?;
@@ -80,20 +80,20 @@
         .map_err(|e| format!("settings.{e}"))?;
     let summary = format!(
         "{name} at {listen}; discovery {discovery}, platform {platform}; {} path groups, {} nodes known; \
-         at most {clients} client and {links} node connections; {} of {} KiB by purpose, {} KiB for hits of one group",
+         at most {clients} client and {node_connections} node connections; {} of {} KiB by purpose, {} KiB for hits of one group",
         names.groups.len(),
         entries.len(),
         plan.total_bytes >> 10,
-        memory >> 10,
+        memory_bytes >> 10,
         plan.account(Purpose::in_flight(0)).cap >> 10,
     );
     Ok((summary, plan))
 }
 
 /// Reads the node list in the configuration.
-fn known_nodes(root: &Value, places: &LocalityNames) -> Result<(u64, bool, Vec<NodeEntry>), String> {
+fn known_nodes(root: &Value, locality_names: &LocalityNames) -> Result<(u64, bool, Vec<NodeEntry>), String> {
     let list = List::deserialize(startup::known_nodes(root)?).map_err(|e| format!("known: {e}"))?;
-    places.parse_list(list).map_err(|e| format!("known: {e}"))
+    locality_names.parse_list(list).map_err(|e| format!("known: {e}"))
 }
 
 /// Serves until SIGTERM or SIGINT, then until every accepted hit is answered. On SIGHUP both files are read
@@ -116,8 +116,8 @@
     let newest_build = platform::parse_stage(news)?;
     let seed = startup::seed(&root)?;
     let names = stonescale_site::wire_names(startup::settings(&root)?)?;
-    let places = Rc::new(LocalityNames::new(&names));
-    let (version, _, entries) = known_nodes(&root, &places)?;
+    let locality_names = Rc::new(LocalityNames::new(&names));
+    let (version, _, entries) = known_nodes(&root, &locality_names)?;
     // Keep only what a reload compares; a node list may have thousands of entries.
     startup::remove_snapshot(&mut root);
     let settings = startup::settings(&root)?;
@@ -141,7 +141,7 @@
     );
     let discovery = Discovery::new(
         discovery_addr,
-        places,
+        locality_names,
         inbox.clone(),
         executor.clone(),
         Some(version),
@@ -221,8 +221,8 @@
             .and_then(|loaded| startup::reloaded_addresses(&loaded.root).map(|new| (loaded, new)))
         {
             Ok(loaded) => loaded,
-            Err(why) => {
-                error!("told to read the configuration again: it is faulty, the one before stays: {why}");
+            Err(error) => {
+                error!("told to read the configuration again: it is faulty, the one before stays: {error}");
                 continue;
             }
         };
@@ -239,11 +239,11 @@
             targets.log.set_lines_per_second(loaded.operator.log.lines_per_second);
             targets.report_every.set(loaded.operator.memory.report_every);
             // With the limits the process started with; changed limits need a restart.
-            let groups =
+            let group_count =
                 running_root.pointer("/settings/classes").and_then(Value::as_array).map_or(1, Vec::len);
-            match startup::memory_plan(&running_root, groups, &loaded.operator.memory.shares) {
+            match startup::memory_plan(&running_root, group_count, &loaded.operator.memory.shares) {
                 Ok(plan) => targets.ledger.apply_plan(&plan),
-                Err(why) => error!("memory shares stay unchanged: {why}"),
+                Err(error) => error!("memory shares stay unchanged: {error}"),
             }
             operator = loaded.operator;
         }
--- a/crates/marshal/src/startup.rs
+++ b/crates/marshal/src/startup.rs
@@ -10,12 +10,12 @@
 /// Share of the descriptors that is reserved for discovery and the platform (two each while their address changes),
 /// the log and the process itself.
 const RESERVED_SHARE: f64 = 1.0 / 16.0;
-/// Fewest descriptors that are reserved, whatever the share comes to.
+/// Minimum number of descriptors that are reserved, whatever the share comes to.
 const MIN_RESERVED_DESCRIPTORS: usize = 16;
 /// Clients' share of the other descriptors. A hit uses one client connection and one node connection; a reply that
 /// never comes keeps the latter in use, and all hits that shared it would wait as well.
 const CLIENT_SHARE: f64 = 0.6;
-/// Share of the descriptors in use by clients from which on idle client connections are closed. By the service page
+/// Share of the descriptors in use by clients above which idle client connections are closed. By the service page
 /// clients use at most a third of the descriptors for hits; this is half of that.
 const IDLE_EVICTION_SHARE: f64 = 1.0 / 6.0;
 
@@ -42,11 +42,11 @@
 /// Reads an address and port from the environment variable `name`, or else from `key` of `root`; `prefix` precedes the
 /// key in error messages.
 fn address(root: &Value, name: &str, key: &str, prefix: &str) -> Result<SocketAddr, String> {
-    let (shown, text) = match env_var(name) {
+    let (source, text) = match env_var(name) {
         Some(text) => (name.to_owned(), text),
         None => (format!("{prefix}{key}"), ConfigObject(root, prefix).string(key)?.to_owned()),
     };
-    text.parse().map_err(|_| format!("{shown} is not an address and a port: '{text}'"))
+    text.parse().map_err(|_| format!("{source} is not an address and a port: '{text}'"))
 }
 
 /// Name, address to listen on, and address of discovery.
@@ -91,30 +91,30 @@
         .map_err(|_| format!("seed is not a number of up to 16 hex digits: '{text}'"))
 }
 
-/// Most client connections and their number from which on idle ones are closed, most node connections, and the memory
-/// limit in bytes.
+/// The maximum number of client connections with the number above which idle ones are closed, the maximum number of
+/// node connections, and the memory limit in bytes.
 pub fn limits(root: &Value) -> Result<((usize, usize), usize, usize), String> {
     let limits = ConfigObject(ConfigObject(root, "").required("limits")?, "limits.");
-    let (sockets, memory) = (limits.number("sockets")? as usize, limits.number("memory_mb")? as usize);
+    let (sockets, memory_mib) = (limits.number("sockets")? as usize, limits.number("memory_mb")? as usize);
     let reserved = ((sockets as f64 * RESERVED_SHARE) as usize).max(MIN_RESERVED_DESCRIPTORS);
     let available = sockets.saturating_sub(reserved);
     if available < 4 {
         return Err(format!("limits.sockets is too low: {sockets}"));
     }
     let clients = (available as f64 * CLIENT_SHARE) as usize;
-    let idle_eviction_from = (sockets as f64 * IDLE_EVICTION_SHARE) as usize;
-    Ok(((clients, idle_eviction_from), available - clients, memory.saturating_mul(1024 * 1024)))
+    let idle_eviction_threshold = (sockets as f64 * IDLE_EVICTION_SHARE) as usize;
+    Ok(((clients, idle_eviction_threshold), available - clients, memory_mib.saturating_mul(1024 * 1024)))
 }
 
 /// Computes the caps and reserves by purpose from the limits and the operator's shares; an error says how much memory
 /// is missing.
-pub fn memory_plan(root: &Value, groups: usize, shares: &Shares) -> Result<Plan, String> {
-    let ((clients, _), node_connections, memory) = limits(root)?;
+pub fn memory_plan(root: &Value, group_count: usize, shares: &Shares) -> Result<Plan, String> {
+    let ((clients, _), node_connections, memory_bytes) = limits(root)?;
     let process = ProcessLimits {
-        memory_bytes: memory,
+        memory_bytes,
         max_clients: clients,
         max_node_connections: node_connections,
-        path_groups: groups,
+        path_groups: group_count,
     };
     Plan::new(process, shares).map_err(|e| format!("limits.memory_mb: {e}"))
 }
--- a/crates/marshal/src/turn.rs
+++ b/crates/marshal/src/turn.rs
@@ -50,7 +50,8 @@
     DeadlineReached,
 }
 
-/// Waits for the next event; for readability and writability only if `read` and `write` ask for it.
+/// Waits for the next event: the socket becomes readable (only if `read`) or writable (only if `write`), the signal is
+/// raised, or the deadline is reached.
 pub async fn wait_for_wakeup(
     stream: &Async<TcpStream>, read: bool, write: bool, signal: &Signal, deadline: Option<Instant>,
 ) -> Wakeup {
@@ -116,7 +117,7 @@
     retry_interrupted(stream, |mut socket| socket.write(bytes))
 }
 
-/// The same for the slices of one message, at most `MAX_PIECES` of them.
+/// Like `try_write` for the slices of one message, at most `MAX_PIECES` of them.
 pub fn try_write_vectored(stream: &Async<TcpStream>, pieces: &[&[u8]]) -> io::Result<usize> {
     let mut slices = [IoSlice::new(&[]); MAX_PIECES];
     slices.iter_mut().zip(pieces).for_each(|(slice, piece)| *slice = IoSlice::new(piece));
@@ -124,7 +125,7 @@
     retry_interrupted(stream, |mut socket| socket.write_vectored(&slices[..used]))
 }
 
-/// Runs `write`, again where a system call was interrupted; zero bytes where it would block.
+/// Calls `write`, and repeats it if a signal interrupts it; returns zero bytes if it would block.
 fn retry_interrupted(
     stream: &Async<TcpStream>, write: impl Fn(&TcpStream) -> io::Result<usize>,
 ) -> io::Result<usize> {
