--- a/crates/budget/src/buffer.rs
+++ b/crates/budget/src/buffer.rs
@@ -5,14 +5,15 @@
 use crate::purpose::Purpose;
 use std::ops::Range;
 
-/// The smallest capacity; most commands and answers fit.
+/// The smallest capacity; most commands and replies fit.
 pub const MIN_CAPACITY_BYTES: usize = 512;
 /// A buffer becomes a block without a copy only if its unused capacity is at most its length divided by this.
 const MAX_UNUSED_DIVISOR: usize = 8;
 
+/// A byte buffer whose capacity is charged to one purpose.
 pub struct Buffer {
     bytes: Vec<u8>,
-    /// Bytes at the front that are consumed.
+    /// Number of bytes at the front that are consumed.
     consumed: usize,
     /// Bytes of the capacity that are charged with the owner of the buffer: small messages never wait for memory.
     prepaid: usize,
@@ -110,8 +111,8 @@
     }
 
     /// Removes the first `length` bytes as a block that is charged to `to`; on failure nothing changes. A buffer
-    /// that holds exactly these bytes hands over its memory; otherwise they are copied, and charged twice while
-    /// both copies exist.
+    /// that holds exactly these bytes and little unused capacity hands over its memory; otherwise they are copied, and
+    /// charged twice while both copies exist.
     pub fn take_block(&mut self, length: usize, to: Purpose) -> Result<Block, BudgetExceeded> {
         self.take_block_with_extra(length, to, 0)
     }
--- a/crates/budget/src/eviction.rs
+++ b/crates/budget/src/eviction.rs
@@ -1,21 +1,21 @@
 //! Selection of the client connections to close when memory is needed. An accepted hit is always answered: a
 //! connection with hits in flight is closed only after they are answered, or when its client reads none of its
-//! answers.
+//! replies.
 
 use stonescale::time::{Span, Time};
 
 /// The state of a client connection that the selection depends on.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientState {
-    /// Bytes of answers that the client has not read.
+    /// Reply bytes not sent: those that its socket has not accepted, and replies that wait for earlier ones.
     pub unsent_bytes: usize,
-    /// When it last read or sent anything.
+    /// When it last accepted reply bytes or was last offered a reply.
     pub last_activity: Time,
     /// When the connection was accepted.
     pub accepted_at: Time,
     /// Number of commands received on it.
     pub commands: u64,
-    /// It has hits in flight or not answered yet.
+    /// It has commands that are not answered, or replies that wait for earlier ones.
     pub has_pending_hits: bool,
     /// It is being closed already.
     pub closing: bool,
@@ -26,7 +26,7 @@
         now - self.last_activity
     }
 
-    /// It has no hit in flight and no unsent answer.
+    /// It has no pending hit and no unsent reply, and is not being closed.
     fn is_idle(&self) -> bool {
         !self.has_pending_hits && !self.closing && self.unsent_bytes == 0
     }
@@ -50,8 +50,8 @@
     selected
 }
 
-/// Selects connections that have read none of their unsent answers for `stall_timeout`, the one with the most unsent
-/// bytes first, until `bytes` are freed. A client that reads slowly is not selected, as it is active.
+/// Selects connections that have accepted none of their unsent reply bytes for `stall_timeout`, the one with the most
+/// unsent bytes first, until `bytes` are freed. A client that reads slowly is not selected, as it is active.
 pub fn select_stalled(clients: &[ClientState], now: Time, stall_timeout: Span, bytes: usize) -> Vec<usize> {
     let mut selected = matching_indices(clients, |c| {
         c.unsent_bytes > 0 && !c.closing && c.inactive_for(now) >= stall_timeout
--- a/crates/budget/src/ledger.rs
+++ b/crates/budget/src/ledger.rs
@@ -130,7 +130,7 @@
         self.0.borrow().pool.accounts()[index].held
     }
 
-    /// Most bytes that the purpose may hold.
+    /// Maximum number of bytes that the purpose may hold.
     pub fn cap(&self, purpose: Purpose) -> usize {
         let index = self.index_of(purpose);
         self.0.borrow().pool.accounts()[index].cap
--- a/crates/budget/src/plan.rs
+++ b/crates/budget/src/plan.rs
@@ -24,7 +24,7 @@
 /// records of three forwards with two timers each. `stonescale-lab sizes` measures this and the two sizes above
 /// (docs/results-memory.md).
 pub const HIT_BYTES: usize = KIB + KIB / 4;
-/// A node: its list entry, its row in the core, its names.
+/// A node: its list entry, its record in the core task, its names.
 pub const NODE_RECORD_BYTES: usize = KIB;
 /// Nodes that a list may name whatever the memory, as far as memory is free: 1,024, and as many that they replace.
 const FULL_FLEET_NODES: usize = 2 * 1_024;
@@ -108,7 +108,7 @@
 pub struct ProcessLimits {
     /// Its memory limit.
     pub memory_bytes: usize,
-    /// Most client connections, and most node connections.
+    /// Maximum number of client connections, and of node connections.
     pub max_clients: usize,
     pub max_node_connections: usize,
     /// Number of path groups.
@@ -160,7 +160,7 @@
 /// Caps and reserves in bytes.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Most bytes that all purposes may hold together.
+    /// Maximum number of bytes that all purposes may hold together.
     pub total_bytes: usize,
     pub accounts: Vec<(Purpose, Account)>,
 }
@@ -210,8 +210,8 @@
             Purpose::PartialCommands
             | Purpose::ClientOutput
             | Purpose::NodeConnections
-            | Purpose::NodeAnswers => MAX_MESSAGE_BYTES,
-            // The command, and the room into which its answer is copied.
+            | Purpose::NodeReplies => MAX_MESSAGE_BYTES,
+            // The command, and the memory into which its reply is copied.
             Purpose::InFlight(_) => MAX_MESSAGE_BYTES + HIT_BYTES,
             Purpose::Nodes => 32 * NODE_RECORD_BYTES,
             Purpose::Discovery => 64 * KIB,
--- a/crates/budget/src/pool.rs
+++ b/crates/budget/src/pool.rs
@@ -5,13 +5,13 @@
 /// One account: its bounds and its use, all in bytes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Account {
-    /// Most bytes that it may hold.
+    /// Maximum number of bytes that it may hold.
     pub cap: usize,
     /// Bytes that no other account can use.
     pub reserve: usize,
     /// Bytes that it holds now.
     pub held: usize,
-    /// Most bytes that it has held so far.
+    /// Maximum number of bytes that it has held so far.
     pub high_water: usize,
 }
 
--- a/crates/budget/src/purpose.rs
+++ b/crates/budget/src/purpose.rs
@@ -10,17 +10,17 @@
     Clients,
     /// Commands that are only partly received.
     PartialCommands,
-    /// Answers that clients have not read yet.
+    /// Replies not sent yet: those that wait for earlier ones, and bytes that the client's socket has not accepted.
     ClientOutput,
     /// Node connections, and the commands queued on them.
     NodeConnections,
-    /// Answers of nodes, from the first byte until they move to the client's output.
-    NodeAnswers,
+    /// Replies of nodes, from the first byte until they are written to the client or charged to `ClientOutput`.
+    NodeReplies,
     /// Records of nodes.
     Nodes,
     /// The node list while it is read.
     Discovery,
-    /// Calls to the platform and its news.
+    /// Requests to the platform, and its messages while they are read.
     Platform,
     /// Log lines that are not written yet.
     Log,
@@ -34,14 +34,14 @@
     Purpose::PartialCommands,
     Purpose::ClientOutput,
     Purpose::NodeConnections,
-    Purpose::NodeAnswers,
+    Purpose::NodeReplies,
     Purpose::Nodes,
     Purpose::Discovery,
     Purpose::Platform,
     Purpose::Log,
 ];
 
-/// Most path groups with an account of their own; further groups share the last one.
+/// Maximum number of path groups with an account of their own; further groups share the last one.
 pub const MAX_PATH_GROUPS: usize = 32;
 
 impl Purpose {
@@ -65,7 +65,7 @@
             Purpose::PartialCommands => "halves",
             Purpose::ClientOutput => "owed",
             Purpose::NodeConnections => "links",
-            Purpose::NodeAnswers => "answers",
+            Purpose::NodeReplies => "answers",
             Purpose::Nodes => "nodes",
             Purpose::Discovery => "discovery",
             Purpose::Platform => "platform",
@@ -100,9 +100,10 @@
     Nothing,
     /// Idle connections are closed, the longest idle first.
     CloseIdle,
-    /// Further commands of clients with unsent answers are not read.
+    /// Further commands of clients with unsent replies are not read.
     PauseReading,
-    /// Clients that have read none of their answers for long are closed, the one with the most unsent bytes first.
+    /// Clients that have accepted none of their unsent reply bytes for long are closed, the one with the most unsent
+    /// bytes first.
     CloseStalled,
     /// Records of nodes that have left the list are dropped at once.
     DropRemovedNodes,
@@ -128,7 +129,7 @@
 }
 
 /// The rule of a purpose. No rule drops a hit that was accepted: only hits that never ran are bounced, and a client
-/// closed as stalled has read none of the answers that are ready for it.
+/// closed as stalled has accepted no reply bytes for long although some are held for it.
 pub fn rule(purpose: Purpose) -> Rule {
     let rule = |overflow, elevated, critical| Rule { overflow, elevated, critical };
     match purpose {
@@ -141,7 +142,7 @@
         Purpose::NodeConnections => {
             rule(Overflow::Unsent, ReclaimAction::CloseIdle, ReclaimAction::CloseIdle)
         }
-        Purpose::NodeAnswers => rule(Overflow::Wait, ReclaimAction::Nothing, ReclaimAction::Nothing),
+        Purpose::NodeReplies => rule(Overflow::Wait, ReclaimAction::Nothing, ReclaimAction::Nothing),
         Purpose::Nodes => {
             rule(Overflow::Drop, ReclaimAction::DropRemovedNodes, ReclaimAction::DropRemovedNodes)
         }
--- a/crates/budget/tests/ledger.rs
+++ b/crates/budget/tests/ledger.rs
@@ -198,7 +198,7 @@
     let mut rest = Vec::new();
     for purpose in [
         Purpose::ClientOutput,
-        Purpose::NodeAnswers,
+        Purpose::NodeReplies,
         Purpose::NodeConnections,
         Purpose::Nodes,
         Purpose::Discovery,
@@ -250,7 +250,7 @@
     assert!(plan.total_bytes <= memory * MIB * 7 / 8);
     assert!(plan.accounts.iter().map(|(_, a)| a.reserve).sum::<usize>() <= plan.total_bytes);
     for purpose in
-        [Purpose::PartialCommands, Purpose::ClientOutput, Purpose::NodeAnswers, Purpose::in_flight(3)]
+        [Purpose::PartialCommands, Purpose::ClientOutput, Purpose::NodeReplies, Purpose::in_flight(3)]
     {
         assert!(plan.account(purpose).reserve >= MAX_MESSAGE_BYTES, "{purpose:?}");
     }
--- a/crates/marshal/src/nodes.rs
+++ b/crates/marshal/src/nodes.rs
@@ -458,7 +458,7 @@
     async fn exchange(&self) -> EndReason {
         let connection = &self.connection;
         let Some(stream) = connection.stream.borrow().clone() else { return EndReason::Broken };
-        let mut received = Buffer::with_prepaid(&self.ledger, Purpose::NodeAnswers);
+        let mut received = Buffer::with_prepaid(&self.ledger, Purpose::NodeReplies);
         let mut scanner = Scanner::new(REPLY_LIMITS);
         // Arrival time of the first bytes of the incomplete reply.
         let mut reply_started = None;
@@ -537,7 +537,7 @@
                 pending.pop_front_if(|f| self.connection.is_written(f)).ok_or("no forward is pending")?;
             drop(pending);
             let keep_value = !forward.reported && reason == EndReason::Served;
-            let value = keep_value.then(|| received.take_block(length, Purpose::NodeAnswers));
+            let value = keep_value.then(|| received.take_block(length, Purpose::NodeReplies));
             if !matches!(value, Some(Ok(_))) {
                 received.consume(length, MIN_CAPACITY_BYTES);
             }
--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -146,11 +146,11 @@
                 let group = usize::from(fields.u8("class")?);
                 let tenant = fields.u32("project")? as usize;
                 let key = fields.u64("object")?;
-                let grace = Span::nanos(fields.u64("grace_ns")?);
+                let client_wait = Span::nanos(fields.u64("grace_ns")?);
                 let work_hint = Span::nanos(fields.u64("work_hint_ns")?);
                 let state_bits = fields.u16("state_bits")?;
                 let work = (state_bits & 1 != 0).then_some(work_hint);
-                marshal.on_hit(reply, now, id, (group, tenant), key, grace, work);
+                marshal.on_hit(reply, now, id, (group, tenant), key, client_wait, work);
             }
             1080 => {
                 let outcome_count = fields.u32("n")?;
@@ -226,8 +226,14 @@
             };
             let weight = entry.f32("weight")?;
             let build = entry.f32("edition")? as u16;
-            let started = Time::at(entry.u64("ready_at_ns")?);
-            marshal.on_list_entry(id, NodeAttributes { zone, kind, cell, weight }, readiness, build, started);
+            let started_at = Time::at(entry.u64("ready_at_ns")?);
+            marshal.on_list_entry(
+                id,
+                NodeAttributes { zone, kind, cell, weight },
+                readiness,
+                build,
+                started_at,
+            );
         }
         marshal.on_list_end(reply);
         Ok(())
