--- a/crates/marshal/src/clients.rs
+++ b/crates/marshal/src/clients.rs
@@ -39,7 +39,7 @@
 /// Time limit for a client's first complete command, and for each partly received one. The protocol's limit
 /// is 3 s.
 const COMMAND_TIMEOUT: Span = Span::millis(2_500);
-/// How long a connection with a framing error stays open for the client to read the error.
+/// How long a connection with a protocol error stays open for the client to read the error.
 const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// State shared by all client connections.
@@ -61,8 +61,8 @@
     scanner: Scanner,
     /// A command that found no room: its remaining bytes are discarded, then it is bounced in its turn.
     skipped: Option<SkippedCommand>,
-    /// The framing error after which nothing more is read.
-    framing_error: Option<&'static str>,
+    /// The protocol error after which nothing more is read: faulty framing, a missed time limit or missing memory.
+    protocol_error: Option<&'static str>,
     command_started_at: Instant,
 }
 
@@ -194,7 +194,7 @@
         self.count.set(self.count.get() - 1);
     }
 
-    /// Reads until the connection ends; fails on a framing error, once all commands are answered.
+    /// Reads until the connection ends; fails on a protocol error, once all commands are answered.
     async fn read_commands(
         &self, client: &Rc<Client>, stream: &Async<TcpStream>,
     ) -> Result<(), &'static str> {
@@ -204,28 +204,28 @@
             received: Buffer::with_prepaid(&self.ledger, Purpose::PartialCommands),
             scanner: Scanner::new(COMMAND_LIMITS),
             skipped: None,
-            framing_error: None,
+            protocol_error: None,
             command_started_at: Instant::now(),
         };
         loop {
             let mid_command = !state.received.is_empty() || state.skipped.is_some();
-            if state.framing_error.is_none() && mid_command {
+            if state.protocol_error.is_none() && mid_command {
                 let before = client.commands_received();
-                state.framing_error = self.dispatch_commands(client, &mut state).err();
+                state.protocol_error = self.dispatch_commands(client, &mut state).err();
                 if client.commands_received() > before {
                     client.has_sent_command.set(true);
                     state.command_started_at = Instant::now();
                 } else if client.accepts_commands() && state.command_started_at.elapsed() >= command_timeout {
-                    state.framing_error = state.framing_error.or(Some("command not ended in time"));
+                    state.protocol_error = state.protocol_error.or(Some("command not ended in time"));
                 }
-                if let Some(error) = state.framing_error {
+                if let Some(error) = state.protocol_error {
                     self.reject_stream(client, &mut state, error);
                 }
             }
             if client.is_aborted() || client.flush().is_err() {
                 return Ok(());
             }
-            if let (Some(error), true) = (state.framing_error, client.is_drained()) {
+            if let (Some(error), true) = (state.protocol_error, client.is_drained()) {
                 return Err(error);
             }
             let mid_command = !state.received.is_empty() || state.skipped.is_some();
@@ -239,12 +239,12 @@
             if should_close && !mid_command && client.is_idle() {
                 return Ok(());
             }
-            let mut read = state.framing_error.is_none() && client.accepts_commands();
+            let mut read = state.protocol_error.is_none() && client.accepts_commands();
             if let Err(error) = if read { self.reserve_next(client, &mut state) } else { Ok(()) } {
-                (state.framing_error, read) = (Some(error), false);
+                (state.protocol_error, read) = (Some(error), false);
                 self.reject_stream(client, &mut state, error);
             }
-            let deadline = match (state.framing_error, read) {
+            let deadline = match (state.protocol_error, read) {
                 (Some(_), _) => None,
                 (None, true) if mid_command => Some(state.command_started_at + command_timeout),
                 (None, true) if client.is_drained() => Some(idle_until),
@@ -382,7 +382,7 @@
         match &mut self.skipped {
             Some(skipped) => skipped.remaining_bytes -= bytes.len().min(skipped.remaining_bytes),
             None if self.received.extend(bytes).is_err() => {
-                self.framing_error = Some("no room for the rest of the command")
+                self.protocol_error = Some("no room for the rest of the command")
             }
             None => {}
         }
--- a/crates/marshal/src/main.rs
+++ b/crates/marshal/src/main.rs
@@ -80,9 +80,9 @@
             serve::serve(files)
         }
         Command::Check(files) => {
-            let (summary, in_force) = serve::check(&files)?;
+            let (summary, effective_settings) = serve::check(&files)?;
             println!("{summary}");
-            for row in in_force {
+            for row in effective_settings {
                 let origin = row.line.map_or("default".into(), |line| format!("line {line}"));
                 println!("[{}] {} = {} ({origin})", row.section, row.key, row.value);
             }
--- a/crates/marshal/src/platform.rs
+++ b/crates/marshal/src/platform.rs
@@ -64,7 +64,7 @@
     ledger: Ledger,
     last_id: Cell<u64>,
     votes: RefCell<VecDeque<PendingVote>>,
-    /// The newest last; those before it are being retired.
+    /// The newest last; an earlier one is kept until a newer one has delivered a message.
     endpoints: RefCell<Vec<Rc<Endpoint>>>,
 }
 
@@ -165,14 +165,14 @@
             };
             info!("platform: {reason}");
             // A vote that was written completely may have been carried out; the others go out on the next connection.
-            let mut lost = 0;
+            let mut lost_votes = 0;
             self.votes.borrow_mut().retain_mut(|vote| {
                 let written = vote.is_written_on(&endpoint, &connection);
                 vote.assigned = vote.assigned.filter(|(number, _)| *number != endpoint.number);
-                lost += usize::from(written);
+                lost_votes += usize::from(written);
                 !written
             });
-            (0..lost).for_each(|_| self.report_failed_vote(ForwardOutcome::TimedOut));
+            (0..lost_votes).for_each(|_| self.report_failed_vote(ForwardOutcome::TimedOut));
             if !self.is_newest(&endpoint) {
                 break;
             }
@@ -219,11 +219,11 @@
     /// Removes the votes whose deadline has passed and reports them as failed.
     fn expire_votes(&self, endpoint: &Endpoint, connection: &ConnectionState) {
         let now = Instant::now();
-        let mut ended = Vec::new();
+        let mut outcomes = Vec::new();
         self.votes.borrow_mut().retain(|vote| {
             let overdue = vote.deadline <= now && vote.is_unassigned_or_on(endpoint);
             if overdue {
-                ended.push(if vote.is_written_on(endpoint, connection) {
+                outcomes.push(if vote.is_written_on(endpoint, connection) {
                     ForwardOutcome::TimedOut
                 } else {
                     ForwardOutcome::Unreached
@@ -231,7 +231,7 @@
             }
             !overdue
         });
-        ended.into_iter().for_each(|outcome| self.report_failed_vote(outcome));
+        outcomes.into_iter().for_each(|outcome| self.report_failed_vote(outcome));
     }
 
     /// Queues the unassigned votes on this connection, unless a newer endpoint has replaced it.
@@ -300,10 +300,10 @@
                     Ok(true) => {
                         let mut receiver =
                             MessageReceiver { platform: self, endpoint, subscription, invalid: None };
-                        let read = json_rpc::dispatch_message(&line, &mut receiver).map_err(str::to_owned);
+                        let parsed = json_rpc::dispatch_message(&line, &mut receiver).map_err(str::to_owned);
                         // After an unreadable line the connection is closed: a notification lost with it would
                         // otherwise be waited for in vain.
-                        if let Err(error) = read.and(receiver.invalid.map_or(Ok(()), Err)) {
+                        if let Err(error) = parsed.and(receiver.invalid.map_or(Ok(()), Err)) {
                             return format!("invalid message: {error}");
                         }
                         (silent_at, connection.received) = (Instant::now() + SILENCE_TIMEOUT, true);
--- a/crates/marshal/src/serve.rs
+++ b/crates/marshal/src/serve.rs
@@ -41,7 +41,7 @@
 struct LoadedFiles {
     root: Value,
     operator: OperatorSettings,
-    in_force: Vec<EffectiveSetting>,
+    effective_settings: Vec<EffectiveSetting>,
     plan: Plan,
     /// Summary of the configuration in one line.
     summary: String,
@@ -49,10 +49,10 @@
 
 impl LoadedFiles {
     fn load(config: &Path, operator: Option<&Path>) -> Result<Self, String> {
-        let (operator, in_force) = OperatorSettings::read(operator)?;
+        let (operator, effective_settings) = OperatorSettings::read(operator)?;
         let root = startup::read_config(config)?;
         let (summary, plan) = validate(&root, &operator)?;
-        Ok(LoadedFiles { root, operator, in_force, plan, summary })
+        Ok(LoadedFiles { root, operator, effective_settings, plan, summary })
     }
 }
 
@@ -60,7 +60,7 @@
 /// settings in force.
 pub fn check(files: &Files) -> Result<(String, Vec<EffectiveSetting>), String> {
     let loaded = LoadedFiles::load(&startup::config_path(files.config.clone())?, files.operator.as_deref())?;
-    Ok((loaded.summary, loaded.in_force))
+    Ok((loaded.summary, loaded.effective_settings))
 }
 
 /// Parses every section of both files; returns a summary and the memory plan.
@@ -68,8 +68,8 @@
     let (name, listen, discovery) = startup::identity(root)?;
     startup::seed(root)?;
     let ((clients, _), node_connections, memory_bytes) = startup::limits(root)?;
-    let (platform, news) = startup::platform(root)?;
-    platform::parse_stage(news).map_err(|e| format!("platform.news: {e}"))?;
+    let (platform, build_status) = startup::platform(root)?;
+    platform::parse_stage(build_status).map_err(|e| format!("platform.news: {e}"))?;
     let settings = startup::settings(root)?;
     let names = stonescale_site::wire_names(settings).map_err(|e| format!("settings.{e}"))?;
     let (_, _, entries) = known_nodes(root, &LocalityNames::new(&names))?;
@@ -112,8 +112,8 @@
     info!("{summary}");
     let (_, listen, discovery_addr) = startup::identity(&root)?;
     let (max_clients, max_node_connections, _) = startup::limits(&root)?;
-    let (platform_addr, news) = startup::platform(&root)?;
-    let newest_build = platform::parse_stage(news)?;
+    let (platform_addr, build_status) = startup::platform(&root)?;
+    let newest_build = platform::parse_stage(build_status)?;
     let seed = startup::seed(&root)?;
     let names = stonescale_site::wire_names(startup::settings(&root)?)?;
     let locality_names = Rc::new(LocalityNames::new(&names));
@@ -217,8 +217,8 @@
     loop {
         wait_for_signal(&signals).await;
         let loaded = LoadedFiles::load(&config, operator_file.as_deref());
-        let (loaded, new) = match loaded
-            .and_then(|loaded| startup::reloaded_addresses(&loaded.root).map(|new| (loaded, new)))
+        let (loaded, new_addresses) = match loaded
+            .and_then(|loaded| startup::reloaded_addresses(&loaded.root).map(|addresses| (loaded, addresses)))
         {
             Ok(loaded) => loaded,
             Err(error) => {
@@ -226,7 +226,10 @@
                 continue;
             }
         };
-        info!("told to read the configuration again: discovery {}, platform {}", new.0, new.1);
+        info!(
+            "told to read the configuration again: discovery {}, platform {}",
+            new_addresses.0, new_addresses.1
+        );
         let mut changed_keys = startup::changed_keys(&loaded.root, &running_root);
         if loaded.operator.log.format != operator.log.format {
             changed_keys.push("[log] format".into());
@@ -249,10 +252,10 @@
         }
         let changed = |new: SocketAddr, old: SocketAddr| (new != old).then_some(new);
         targets.inbox.push_control_event(ControlEvent::AddressesChanged(
-            changed(new.0, addresses.0),
-            changed(new.1, addresses.1),
+            changed(new_addresses.0, addresses.0),
+            changed(new_addresses.1, addresses.1),
         ));
-        addresses = new;
+        addresses = new_addresses;
     }
 }
 
