--- a/crates/marshal/src/serve.rs
+++ b/crates/marshal/src/serve.rs
@@ -41,7 +41,7 @@
 struct LoadedFiles {
     root: Value,
     operator: OperatorSettings,
-    in_force: Vec<EffectiveSetting>,
+    effective_settings: Vec<EffectiveSetting>,
     plan: Plan,
     /// Summary of the configuration in one line.
     summary: String,
@@ -49,10 +49,10 @@
 
 impl LoadedFiles {
     fn load(config: &Path, operator: Option<&Path>) -> Result<Self, String> {
-        let (operator, in_force) = OperatorSettings::read(operator)?;
+        let (operator, effective_settings) = OperatorSettings::read(operator)?;
         let root = startup::read_config(config)?;
         let (summary, plan) = validate(&root, &operator)?;
-        Ok(LoadedFiles { root, operator, in_force, plan, summary })
+        Ok(LoadedFiles { root, operator, effective_settings, plan, summary })
     }
 }
 
@@ -60,16 +60,16 @@
 /// settings in force.
 pub fn check(files: &Files) -> Result<(String, Vec<EffectiveSetting>), String> {
     let loaded = LoadedFiles::load(&startup::config_path(files.config.clone())?, files.operator.as_deref())?;
-    Ok((loaded.summary, loaded.in_force))
+    Ok((loaded.summary, loaded.effective_settings))
 }
 
 /// Parses every section of both files; returns a summary and the memory plan.
 fn validate(root: &Value, operator: &OperatorSettings) -> Result<(String, Plan), String> {
     let (name, listen, discovery) = startup::identity(root)?;
     startup::seed(root)?;
-    let ((clients, _), links, memory) = startup::limits(root)?;
-    let (platform, news) = startup::platform(root)?;
-    platform::parse_stage(news).map_err(|e| format!("platform.news: {e}"))?;
+    let ((clients, _), node_connections, memory_bytes) = startup::limits(root)?;
+    let (platform, build_status) = startup::platform(root)?;
+    platform::parse_stage(build_status).map_err(|e| format!("platform.news: {e}"))?;
     let settings = startup::settings(root)?;
     let names = stonescale_site::wire_names(settings).map_err(|e| format!("settings.{e}"))?;
     let (_, _, entries) = known_nodes(root, &LocalityNames::new(&names))?;
@@ -80,20 +80,20 @@
         .map_err(|e| format!("settings.{e}"))?;
     let summary = format!(
         "{name} at {listen}; discovery {discovery}, platform {platform}; {} path groups, {} nodes known; \
-         at most {clients} client and {links} node connections; {} of {} KiB by purpose, {} KiB for hits of one group",
+         at most {clients} client and {node_connections} node connections; {} of {} KiB by purpose, {} KiB for hits of one group",
         names.groups.len(),
         entries.len(),
         plan.total_bytes >> 10,
-        memory >> 10,
+        memory_bytes >> 10,
         plan.account(Purpose::in_flight(0)).cap >> 10,
     );
     Ok((summary, plan))
 }
 
 /// Reads the node list in the configuration.
-fn known_nodes(root: &Value, places: &LocalityNames) -> Result<(u64, bool, Vec<NodeEntry>), String> {
+fn known_nodes(root: &Value, locality_names: &LocalityNames) -> Result<(u64, bool, Vec<NodeEntry>), String> {
     let list = List::deserialize(startup::known_nodes(root)?).map_err(|e| format!("known: {e}"))?;
-    places.parse_list(list).map_err(|e| format!("known: {e}"))
+    locality_names.parse_list(list).map_err(|e| format!("known: {e}"))
 }
 
 /// Serves until SIGTERM or SIGINT, then until every accepted hit is answered. On SIGHUP both files are read
@@ -112,12 +112,12 @@
     info!("{summary}");
     let (_, listen, discovery_addr) = startup::identity(&root)?;
     let (max_clients, max_node_connections, _) = startup::limits(&root)?;
-    let (platform_addr, news) = startup::platform(&root)?;
-    let newest_build = platform::parse_stage(news)?;
+    let (platform_addr, build_status) = startup::platform(&root)?;
+    let newest_build = platform::parse_stage(build_status)?;
     let seed = startup::seed(&root)?;
     let names = stonescale_site::wire_names(startup::settings(&root)?)?;
-    let places = Rc::new(LocalityNames::new(&names));
-    let (version, _, entries) = known_nodes(&root, &places)?;
+    let locality_names = Rc::new(LocalityNames::new(&names));
+    let (version, _, entries) = known_nodes(&root, &locality_names)?;
     // Keep only what a reload compares; a node list may have thousands of entries.
     startup::remove_snapshot(&mut root);
     let settings = startup::settings(&root)?;
@@ -141,7 +141,7 @@
     );
     let discovery = Discovery::new(
         discovery_addr,
-        places,
+        locality_names,
         inbox.clone(),
         executor.clone(),
         Some(version),
@@ -217,16 +217,19 @@
     loop {
         wait_for_signal(&signals).await;
         let loaded = LoadedFiles::load(&config, operator_file.as_deref());
-        let (loaded, new) = match loaded
-            .and_then(|loaded| startup::reloaded_addresses(&loaded.root).map(|new| (loaded, new)))
+        let (loaded, new_addresses) = match loaded
+            .and_then(|loaded| startup::reloaded_addresses(&loaded.root).map(|addresses| (loaded, addresses)))
         {
             Ok(loaded) => loaded,
-            Err(why) => {
-                error!("told to read the configuration again: it is faulty, the one before stays: {why}");
+            Err(error) => {
+                error!("told to read the configuration again: it is faulty, the one before stays: {error}");
                 continue;
             }
         };
-        info!("told to read the configuration again: discovery {}, platform {}", new.0, new.1);
+        info!(
+            "told to read the configuration again: discovery {}, platform {}",
+            new_addresses.0, new_addresses.1
+        );
         let mut changed_keys = startup::changed_keys(&loaded.root, &running_root);
         if loaded.operator.log.format != operator.log.format {
             changed_keys.push("[log] format".into());
@@ -239,20 +242,20 @@
             targets.log.set_lines_per_second(loaded.operator.log.lines_per_second);
             targets.report_every.set(loaded.operator.memory.report_every);
             // With the limits the process started with; changed limits need a restart.
-            let groups =
+            let group_count =
                 running_root.pointer("/settings/classes").and_then(Value::as_array).map_or(1, Vec::len);
-            match startup::memory_plan(&running_root, groups, &loaded.operator.memory.shares) {
+            match startup::memory_plan(&running_root, group_count, &loaded.operator.memory.shares) {
                 Ok(plan) => targets.ledger.apply_plan(&plan),
-                Err(why) => error!("memory shares stay unchanged: {why}"),
+                Err(error) => error!("memory shares stay unchanged: {error}"),
             }
             operator = loaded.operator;
         }
         let changed = |new: SocketAddr, old: SocketAddr| (new != old).then_some(new);
         targets.inbox.push_control_event(ControlEvent::AddressesChanged(
-            changed(new.0, addresses.0),
-            changed(new.1, addresses.1),
+            changed(new_addresses.0, addresses.0),
+            changed(new_addresses.1, addresses.1),
         ));
-        addresses = new;
+        addresses = new_addresses;
     }
 }
 
