--- a/crates/lab/src/checker.rs
+++ b/crates/lab/src/checker.rs
@@ -1,32 +1,33 @@
-//! Checker of the service's five rules, from the outside: it records what clients sent and received, what nodes were
-//! sent and executed, and what the marshal was told about nodes and builds. It does no I/O and reads no clock; times
-//! are arguments.
+//! Checks from outside the marshal that the service keeps its five rules. The checker records what clients sent and
+//! received, what nodes received and executed, and what discovery and platform reported to the marshal. It does no I/O
+//! and reads no clock; times are arguments.
 //!
 //! 1. Each hit gets exactly one final answer before the client's timeout, and nothing is sent for it afterwards.
 //! 2. No hit has its effect twice.
-//! 3. A node receives nothing new past the grace after it was reported draining or removed.
+//! 3. A node receives no new forward later than a grace period after it was reported draining or removed.
 //! 4. No marshal overloads a cold node.
-//! 5. Forwards to a build on trial stay within the allowance plus the cap times the hits.
+//! 5. Forwards to a build on trial stay within an allowance plus the build's cap (a share of the hits) times the number
+//!    of hits received, counted over a sliding window.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use stonescale::settings::Effect;
 use stonescale::time::{Span, Time};
 
-/// Bounds of the rules, as in the settings and the protocol page.
+/// Limits and tolerances of the rules, as in the site's settings and the protocol page.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// Time after which a drain notice is binding.
+    /// Time after a node is reported draining or removed during which it may still receive forwards.
     pub drain_grace: Span,
-    /// Time after which a lowered cap is binding.
+    /// Time after a lower cap is reported during which the marshal may still use the higher one.
     pub cap_grace: Span,
-    /// Added to each limit that is observed through sockets.
+    /// Added to each time limit, for the delay between the marshal and the sockets at which the checker observes.
     pub socket_slack: Span,
     /// Length of the sliding window over which forwards to a build on trial are counted. Hits received before a cap
     /// rose count with the higher cap.
-    pub window: Span,
+    pub cap_window: Span,
     /// Forwards allowed beyond the cap in each window, and the factor by which the cap itself may be exceeded.
-    pub allowance: f64,
+    pub forward_allowance: f64,
     pub cap_factor: f64,
     pub cold_start: ColdStart,
 }
@@ -56,29 +57,31 @@
 #[derive(Clone, Copy)]
 struct WarmingNode {
     started: Time,
-    /// Capacity of the warm node, in commands a second.
+    /// Capacity once warm, in commands per second.
     capacity: f64,
     /// Number of the current interval since the node's start, and the forwards in it.
     interval: u64,
     forwards: u32,
-    /// First of the consecutive intervals with too many forwards, and whether the node was still cold in it.
+    /// Number of the first of the consecutive intervals with too many forwards, and whether the node was still cold in
+    /// it.
     overloaded_since: Option<(u64, bool)>,
 }
 
 impl WarmingNode {
-    /// Counts a forward. True if it completes an overload that began while the node was cold.
+    /// Counts a forward. True if an overload that began while the node was cold has lasted for `overload_duration`, as
+    /// found at the first forward after an interval.
     fn record_forward(&mut self, cold: &ColdStart, now: Time) -> bool {
         let interval = ((now - self.started).as_nanos()) / COUNT_INTERVAL.as_nanos();
         let mut overloaded = false;
         if interval != self.interval {
-            let at = |interval: u64| COUNT_INTERVAL * interval as f64;
-            let share = cold.capacity_share(at(self.interval));
+            let span_of = |interval_count: u64| COUNT_INTERVAL * interval_count as f64;
+            let share = cold.capacity_share(span_of(self.interval));
             let above_limit = f64::from(self.forwards)
                 > cold.overload_factor * share * self.capacity * COUNT_INTERVAL.seconds();
             let since = self.overloaded_since.unwrap_or((self.interval, share < 1.0));
             self.overloaded_since = above_limit.then_some(since);
             let sustained = |(from, was_cold): (u64, bool)| {
-                was_cold && at(self.interval + 1 - from) >= cold.overload_duration
+                was_cold && span_of(self.interval + 1 - from) >= cold.overload_duration
             };
             if self.overloaded_since.is_some_and(sustained) {
                 (overloaded, self.overloaded_since) = (true, None);
@@ -101,8 +104,8 @@
             drain_grace,
             cap_grace,
             socket_slack: Span::millis(50),
-            window: Span::millis(1_000),
-            allowance: 1.0 + 2.0,
+            cap_window: Span::millis(1_000),
+            forward_allowance: 1.0 + 2.0,
             cap_factor: 1.04,
             cold_start: ColdStart {
                 initial_share: 0.3,
@@ -128,7 +131,7 @@
     Delivered,
     Bounced,
     Errored,
-    /// The value of another hit.
+    /// Delivered with the value of another hit.
     WrongValue,
 }
 
@@ -142,10 +145,12 @@
     pub client_timeout: Span,
 }
 
+/// Record of a hit.
 struct Hit {
     request: Request,
     sent_at: Time,
-    ended: Option<(Outcome, Time)>,
+    /// Outcome and time of the latest answer.
+    answer: Option<(Outcome, Time)>,
     /// The client closed its connection or stopped waiting.
     abandoned: bool,
     /// Forwards that a node received whole, and those of them that it rejected without executing.
@@ -155,11 +160,13 @@
 }
 
 impl Hit {
+    /// Whether a node received a forward of the hit and did not reject it.
     fn may_have_run(&self) -> bool {
         self.forwards > self.rejected
     }
 }
 
+/// A node as discovery reported it last.
 #[derive(Clone, Copy)]
 struct ListedNode {
     build: u16,
@@ -167,11 +174,12 @@
     leaving_since: Option<Time>,
 }
 
-/// Cap of a build as reported: the current one, and the higher one before it that may still be in use.
+/// Cap of a build, a share of the hits: the current one with the time of its report, and the previous one, which the
+/// marshal may still use.
 #[derive(Clone, Copy)]
 struct BuildCap {
     current: f64,
-    since: Time,
+    reported_at: Time,
     previous: f64,
 }
 
@@ -180,7 +188,7 @@
 /// Violations kept with their messages; further ones are only counted.
 const MAX_VIOLATION_TEXTS: usize = 100;
 
-/// Record of one marshal's traffic, and the rules that it broke.
+/// Record of one marshal's traffic, and the violations found in it.
 pub struct Checker {
     bounds: Bounds,
     hits: HashMap<String, Hit>,
@@ -189,7 +197,7 @@
     nodes: HashMap<String, ListedNode>,
     warming_nodes: HashMap<String, WarmingNode>,
     caps: BTreeMap<u16, BuildCap>,
-    /// Newest build, and whether it is on trial.
+    /// Number of the newest build, and whether it is on trial.
     newest_build: Option<(u16, bool)>,
     /// Cap of a build that has not been reported yet.
     initial_cap: f64,
@@ -250,7 +258,7 @@
         let hit = Hit {
             request,
             sent_at: now,
-            ended: None,
+            answer: None,
             abandoned: false,
             forwards: 0,
             rejected: 0,
@@ -265,14 +273,15 @@
     /// The marshal received a whole hit, possibly one that is not recorded here: a cap is a share of all hits.
     pub fn hit_received(&mut self, now: Time) {
         self.recent_hits.push_back(now);
-        while self.recent_hits.front().is_some_and(|at| now - *at > self.bounds.window) {
+        while self.recent_hits.front().is_some_and(|at| now - *at > self.bounds.cap_window) {
             self.recent_hits.pop_front();
         }
     }
 
+    /// Drops hits older than `HIT_RETENTION`; while there are very many, also younger ones that have ended.
     fn prune_hits(&mut self, now: Time) {
         while let Some((at, id)) = self.sent_order.front() {
-            let done = self.hits.get(id).is_none_or(|h| h.ended.is_some() || h.abandoned);
+            let done = self.hits.get(id).is_none_or(|h| h.answer.is_some() || h.abandoned);
             if now - *at < HIT_RETENTION && (!done || self.sent_order.len() < 100_000) {
                 break;
             }
@@ -285,34 +294,36 @@
     /// A client received a whole answer.
     pub fn hit_answered(&mut self, id: &str, outcome: Outcome, now: Time) {
         let Some(hit) = self.hits.get_mut(id) else { return };
-        let before = hit.ended.replace((outcome, now));
+        let previous_answer = hit.answer.replace((outcome, now));
         let deadline = hit.request.client_timeout + self.bounds.socket_slack;
-        let (late, ran) = (now - hit.sent_at > deadline, hit.may_have_run());
-        let (effect, took) = (hit.request.effect, now - hit.sent_at);
+        let (late, may_have_run) = (now - hit.sent_at > deadline, hit.may_have_run());
+        let (effect, latency) = (hit.request.effect, now - hit.sent_at);
         match outcome {
             Outcome::Delivered => self.totals.delivered += 1,
             Outcome::Bounced => self.totals.bounced += 1,
             Outcome::Errored => self.totals.errored += 1,
             Outcome::WrongValue => {
-                let sent = took.seconds();
+                let age_seconds = latency.seconds();
                 self.record_violation(
                     1,
                     now,
-                    format!("hit {id}, sent {sent:.3} s ago, was answered with the value of another hit"),
+                    format!(
+                        "hit {id}, sent {age_seconds:.3} s ago, was answered with the value of another hit"
+                    ),
                 );
             }
         }
-        if before.is_some() {
+        if previous_answer.is_some() {
             self.record_violation(1, now, format!("hit {id} was answered twice"));
         }
         if late {
             self.record_violation(
                 1,
                 now,
-                format!("hit {id} was answered {:.3} s after it was sent", took.seconds()),
+                format!("hit {id} was answered {:.3} s after it was sent", latency.seconds()),
             );
         }
-        if outcome == Outcome::Bounced && ran && effect == Effect::Mutating {
+        if outcome == Outcome::Bounced && may_have_run && effect == Effect::Mutating {
             self.record_violation(
                 2,
                 now,
@@ -321,12 +332,12 @@
         }
     }
 
-    /// The client stopped waiting, or its connection ended without an answer. `answer_due` is false if the marshal
-    /// did not have to answer.
+    /// The client stopped waiting, or its connection ended without an answer. `answer_due` is false if the marshal was
+    /// not obliged to answer.
     pub fn client_left(&mut self, id: &str, answer_due: bool, now: Time) {
-        let Some(hit) = self.hits.get_mut(id).filter(|h| h.ended.is_none() && !h.abandoned) else { return };
+        let Some(hit) = self.hits.get_mut(id).filter(|h| h.answer.is_none() && !h.abandoned) else { return };
         hit.abandoned = true;
-        // A client that first waited for a connection may give up before the marshal's time for the hit is over.
+        // A client that first waited for a connection may give up before the marshal's deadline of the hit.
         if answer_due && now - hit.sent_at > hit.request.client_timeout + self.bounds.socket_slack {
             self.totals.unanswered += 1;
             self.record_violation(1, now, format!("hit {id} was never answered"));
@@ -340,13 +351,13 @@
         if let Some(hit) = self.hits.get_mut(id) {
             let may_have_run = hit.may_have_run();
             hit.forwards += 1;
-            let (effect, sent, client_timeout) =
+            let (effect, sent_at, client_timeout) =
                 (hit.request.effect, hit.sent_at, hit.request.client_timeout);
-            let after_answer = hit.ended.is_some_and(|(_, at)| now - at > slack);
+            let after_answer = hit.answer.is_some_and(|(_, at)| now - at > slack);
             if after_answer {
                 self.record_violation(1, now, format!("hit {id} was sent to {node} after it was answered"));
             }
-            if now - sent > client_timeout + slack {
+            if now - sent_at > client_timeout + slack {
                 self.record_violation(
                     1,
                     now,
@@ -376,25 +387,25 @@
         let grace = self.bounds.drain_grace + self.bounds.socket_slack;
         if let Some(leaving_since) = listed.leaving_since.filter(|leaving_since| now - *leaving_since > grace)
         {
-            let late = (now - leaving_since).seconds();
+            let elapsed_seconds = (now - leaving_since).seconds();
             self.record_violation(
                 3,
                 now,
                 format!(
-                    "{node} was sent hit {id} {late:.3} s after the node was reported draining or removed"
+                    "{node} was sent hit {id} {elapsed_seconds:.3} s after the node was reported draining or removed"
                 ),
             );
         }
         let Some(cap) = self.trial_cap(listed.build, now) else { return };
-        let Bounds { window, allowance, cap_factor, .. } = self.bounds;
+        let Bounds { cap_window, forward_allowance, cap_factor, .. } = self.bounds;
         let forwards = self.recent_forwards.entry(listed.build).or_default();
         forwards.push_back(now);
-        while forwards.front().is_some_and(|at| now - *at > window) {
+        while forwards.front().is_some_and(|at| now - *at > cap_window) {
             forwards.pop_front();
         }
         let forward_count = forwards.len();
-        let recent_hits = self.recent_hits.iter().filter(|at| now - **at <= window).count();
-        if forward_count as f64 > allowance + cap * cap_factor * recent_hits as f64 {
+        let recent_hits = self.recent_hits.iter().filter(|at| now - **at <= cap_window).count();
+        if forward_count as f64 > forward_allowance + cap * cap_factor * recent_hits as f64 {
             let build = listed.build;
             self.record_violation(
                 5,
@@ -413,14 +424,14 @@
         }
     }
 
-    /// Whether a command with this idempotency key was executed within `memory`; if not, it is recorded as executed
-    /// now.
-    pub fn is_repeat(&mut self, idempotency_key: &str, memory: Span, now: Time) -> bool {
+    /// Whether a command with this idempotency key was executed within the last `dedup_window`; if not, the key is
+    /// recorded as executed now.
+    pub fn check_and_record_key(&mut self, idempotency_key: &str, dedup_window: Span, now: Time) -> bool {
         if self.executed_keys.len() > 10_000 {
-            self.executed_keys.retain(|_, at| now - *at < memory);
+            self.executed_keys.retain(|_, at| now - *at < dedup_window);
         }
         match self.executed_keys.get(idempotency_key) {
-            Some(at) if now - *at < memory => true,
+            Some(at) if now - *at < dedup_window => true,
             _ => {
                 self.executed_keys.insert(idempotency_key.to_owned(), now);
                 false
@@ -438,16 +449,16 @@
         }
     }
 
-    /// Discovery reported a node to the marshal.
+    /// Discovery reported a node to the marshal; `leaving` is true if it is draining or removed.
     pub fn node_reported(&mut self, node: &str, build: u16, leaving: bool, now: Time) {
-        let before = self.nodes.get(node).and_then(|l| l.leaving_since);
-        let leaving_since = leaving.then(|| before.unwrap_or(now));
+        let reported_before = self.nodes.get(node).and_then(|listed| listed.leaving_since);
+        let leaving_since = leaving.then(|| reported_before.unwrap_or(now));
         self.nodes.insert(node.to_owned(), ListedNode { build, leaving_since });
     }
 
-    /// A node starts now and is cold; `capacity` is that of the warm node, in commands a second.
+    /// A cold node starts; `capacity` is its capacity once warm, in commands per second.
     pub fn node_started(&mut self, node: &str, capacity: f64, now: Time) {
-        // Nodes that have been warm for long need no check any more.
+        // Nodes whose warm-up ended long ago need no check any more.
         let ColdStart { ramp, overload_duration, .. } = self.bounds.cold_start;
         self.warming_nodes.retain(|_, warming| now - warming.started <= ramp + overload_duration * 2.0);
         let warming =
@@ -455,24 +466,28 @@
         self.warming_nodes.insert(node.to_owned(), warming);
     }
 
-    /// The platform reported the state of the newest build to the marshal.
+    /// The platform reported the state of the newest build to the marshal; `cap` is a share of the hits.
     pub fn build_reported(&mut self, build: u16, on_trial: bool, cap: f64, now: Time) {
         self.newest_build = Some((build, on_trial));
-        let first = BuildCap { current: cap, since: now, previous: cap };
-        let at = self.caps.entry(build).or_insert(first);
-        if at.current != cap {
+        let initial = BuildCap { current: cap, reported_at: now, previous: cap };
+        let cap_entry = self.caps.entry(build).or_insert(initial);
+        if cap_entry.current != cap {
             // The marshal may still act on a higher cap that was reported shortly before.
-            let recent = now - at.since <= self.bounds.cap_grace;
-            *at = BuildCap {
+            let within_grace = now - cap_entry.reported_at <= self.bounds.cap_grace;
+            *cap_entry = BuildCap {
                 current: cap,
-                since: now,
-                previous: if recent { at.previous.max(at.current) } else { at.current },
+                reported_at: now,
+                previous: if within_grace {
+                    cap_entry.previous.max(cap_entry.current)
+                } else {
+                    cap_entry.current
+                },
             };
         }
-        self.recent_forwards.retain(|of, _| *of >= build);
+        self.recent_forwards.retain(|listed_build, _| *listed_build >= build);
     }
 
-    /// Cap of a build on trial; none for other builds.
+    /// Cap that applies to a build on trial, as a share of the hits; none for other builds.
     fn trial_cap(&self, build: u16, now: Time) -> Option<f64> {
         let (newest, on_trial) = self.newest_build?;
         if build > newest {
@@ -480,7 +495,7 @@
         }
         let cap = self.caps.get(&build).filter(|_| build == newest && on_trial)?;
         let grace = self.bounds.cap_grace + self.bounds.socket_slack * 3.0;
-        Some(if now - cap.since <= grace { cap.current.max(cap.previous) } else { cap.current })
+        Some(if now - cap.reported_at <= grace { cap.current.max(cap.previous) } else { cap.current })
     }
 }
 
@@ -500,7 +515,11 @@
     /// The first ten violations, one a line; empty if there are none.
     pub fn violation_report(&self) -> String {
         let checker = self.lock();
-        let lines = checker.violations.iter().take(10).map(|v| format!("rule {}: {}\n", v.rule, v.message));
+        let lines = checker
+            .violations
+            .iter()
+            .take(10)
+            .map(|violation| format!("rule {}: {}\n", violation.rule, violation.message));
         lines.collect()
     }
 }
--- a/crates/lab/src/cost.rs
+++ b/crates/lab/src/cost.rs
@@ -9,57 +9,57 @@
 use std::path::Path;
 use std::time::Duration;
 
-const NODES: usize = 6;
+const NODE_COUNT: usize = 6;
 
 /// Parameters of a measurement.
 #[derive(Clone, Copy, Debug)]
 pub struct Measurement {
-    /// Counted rounds of each build.
+    /// Counted rounds of each build, besides the warm-up round.
     pub rounds: usize,
     pub round_duration: Duration,
     pub hits_per_second: f64,
 }
 
-/// Results of one build: round by round in microseconds, and hits over all rounds.
+/// Results of one build: times of each round in microseconds, and hits over all rounds.
 #[derive(Clone, Debug, Default)]
 pub struct BuildCost {
     /// Processor time per delivered hit, by round.
     pub cpu_micros_per_hit: Vec<f64>,
-    /// 99th percentile of the latency of reads, by round.
+    /// 99th percentile of the latency of hits of the repeatable path group, by round.
     pub p99_micros: Vec<u64>,
     pub hits_sent: u64,
     pub hits_delivered: u64,
 }
 
-/// Runs one round and adds its results to `cost`; none if the marshal's use can't be read.
+/// Runs one round and adds its results to `cost`; none if the marshal's resource usage can't be read.
 fn run_round(world: &World, measurement: Measurement, cost: &mut BuildCost, seed: u64) -> Option<()> {
     let cpu_before = world.program.usage()?.cpu_time;
     let load = world
         .start_load(LoadPlan { max_connections: 256, ..LoadPlan::mixed(measurement.hits_per_second, seed) });
     std::thread::sleep(measurement.round_duration);
-    let tallies = load.finish();
+    let group_stats = load.finish();
     let cpu_time = world.program.usage()?.cpu_time - cpu_before;
     let (sent, delivered) =
-        tallies.iter().fold((0, 0), |sum, tally| (sum.0 + tally.hits, sum.1 + tally.delivered));
+        group_stats.iter().fold((0, 0), |sum, stats| (sum.0 + stats.hits, sum.1 + stats.delivered));
     cost.hits_sent += sent;
     cost.hits_delivered += delivered;
     cost.cpu_micros_per_hit.push(cpu_time.as_secs_f64() * 1e6 / (delivered as f64).max(1.0));
-    cost.p99_micros.push(tallies[0].latency_micros.value_at_quantile(0.99));
+    cost.p99_micros.push(group_stats[0].latency_micros.value_at_quantile(0.99));
     Some(())
 }
 
 /// Runs both builds in alternating rounds, after a warm-up round of each that isn't counted.
 pub fn run(first: &Path, second: &Path, measurement: Measurement) -> Result<[BuildCost; 2], String> {
-    let manner = NodeBehavior { cores: 64, ..NodeBehavior::default() };
-    let start = |binary: &Path| World::start(binary, NODES, Limits::default(), &manner, &[]);
+    let behavior = NodeBehavior { cores: 64, ..NodeBehavior::default() };
+    let start = |binary: &Path| World::start(binary, NODE_COUNT, Limits::default(), &behavior, &[]);
     let worlds = [start(first)?, start(second)?];
     let mut costs = [BuildCost::default(), BuildCost::default()];
-    for number in 0..=measurement.rounds {
-        // The order alternates, as the build that goes second may find a warmer machine.
-        for index in if number % 2 == 0 { [0, 1] } else { [1, 0] } {
+    for round in 0..=measurement.rounds {
+        // The order alternates, as the machine may be warmer for the build that runs second.
+        for index in if round % 2 == 0 { [0, 1] } else { [1, 0] } {
             let mut warm_up = BuildCost::default();
-            let counted = if number == 0 { &mut warm_up } else { &mut costs[index] };
-            run_round(&worlds[index], measurement, counted, number as u64).ok_or("a marshal exited")?;
+            let cost = if round == 0 { &mut warm_up } else { &mut costs[index] };
+            run_round(&worlds[index], measurement, cost, round as u64).ok_or("a marshal exited")?;
         }
     }
     Ok(costs)
--- a/crates/lab/src/faults.rs
+++ b/crates/lab/src/faults.rs
@@ -1,4 +1,4 @@
-//! Schedule of faults for long runs: each cycle has every kind once, in an order drawn from a seed.
+//! Schedule of faults for long runs: each cycle has every fault once, in an order drawn from a seed.
 
 use rand::SeedableRng;
 use rand::seq::SliceRandom;
@@ -38,7 +38,7 @@
     Leave,
     /// Clients send one hit and keep an idle connection.
     Stay,
-    /// Discovery and platform are down, and come back.
+    /// Discovery is down and the platform does not answer.
     Outage,
     /// A build that works well is released.
     GoodBuild,
@@ -47,7 +47,7 @@
 }
 
 /// All faults, in the order of the variants.
-pub const ALL: [Fault; 18] = [
+pub const ALL_FAULTS: [Fault; 18] = [
     Fault::Calm,
     Fault::Silent,
     Fault::AllSilent,
@@ -69,14 +69,14 @@
 ];
 
 impl Fault {
-    /// Name in scenario files.
+    /// Name of the fault in scenario files.
     pub fn name(self) -> String {
         format!("{self:?}").to_lowercase()
     }
 
     /// The fault of this name.
     pub fn from_name(name: &str) -> Option<Self> {
-        ALL.into_iter().find(|t| t.name() == name)
+        ALL_FAULTS.into_iter().find(|fault| fault.name() == name)
     }
 }
 
@@ -88,10 +88,10 @@
 }
 
 impl FaultSchedule {
-    /// A schedule of `cycles` cycles over these kinds. The fault of each phase is on during its first half only.
-    pub fn generate(kinds: &[Fault], cycles: usize, phase_duration: Duration, seed: u64) -> Self {
+    /// A schedule of `cycles` cycles of these faults. The fault of each phase is on during its first half only.
+    pub fn generate(faults: &[Fault], cycles: usize, phase_duration: Duration, seed: u64) -> Self {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let mut cycle = kinds.to_vec();
+        let mut cycle = faults.to_vec();
         cycle.shuffle(&mut rng);
         // The order is the same in all cycles, so that they can be compared.
         let phases = std::iter::repeat_n(cycle, cycles).flatten().collect();
@@ -106,7 +106,7 @@
     /// Number of the phase, its fault, and whether the fault is on at this time; none after the end.
     pub fn phase_at(&self, elapsed: Duration) -> Option<(usize, Fault, bool)> {
         let number = (elapsed.as_nanos() / self.phase_duration.as_nanos().max(1)) as usize;
-        let within = elapsed - self.phase_duration * number as u32;
-        self.phases.get(number).map(|fault| (number, *fault, within < self.phase_duration / 2))
+        let time_in_phase = elapsed - self.phase_duration * number as u32;
+        self.phases.get(number).map(|fault| (number, *fault, time_in_phase < self.phase_duration / 2))
     }
 }
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,17 +1,19 @@
-//! The laboratory: experiments with a marshal on loopback, which need no other program.
+//! The laboratory: experiments with a marshal on the loopback interface. No other program is needed.
 //!
 //! - [`runtime`]: the thread on which all stand-ins run, and their clock.
 //! - [`node`], [`discovery`], [`platform`]: stand-ins for the other parties, written from the operators' protocol
 //!   page.
-//! - [`load`]: well-behaved clients in an open loop; [`misbehaving`]: misbehaving clients.
+//! - [`load`]: well-behaved clients that send hits in an open loop; [`misbehaving`]: clients that violate the protocol or
+//!   flood the marshal.
+//! - [`wire`]: RESP messages of the stand-ins.
 //! - [`site`]: settings and configuration of a small site; [`program`]: a marshal as a child process, observed from
 //!   outside.
 //! - [`world`]: a running site, made of all of these and one marshal.
 //! - [`checker`]: records every hit and forward independently of the marshal, and reports violations of the five rules.
-//! - [`release`], [`faults`]: the course of a release and the schedule of troubles, without I/O; [`rollout`] carries a
-//!   release out.
-//! - [`cost`], [`sizes`]: processor time of a hit, memory of a hit and of a connection.
-//! - [`soak`], [`demo`]: long and short runs of a site; [`trend`] tests samples for growth, [`plot`] draws them.
+//! - [`release`], [`faults`]: the state machine of a release and the schedule of faults, without I/O; [`rollout`]
+//!   carries a release out.
+//! - [`cost`], [`sizes`]: measured processor time per hit, and measured memory per hit and per connection.
+//! - [`soak`], [`demo`]: soak test and demonstration; [`trend`] tests samples for growth, [`plot`] draws them.
 //!
 //! Handles are plain values: tests are written as ordinary sequential code, while the stand-ins run on their own
 //! thread.
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -45,9 +45,9 @@
 
 impl LoadPlan {
     /// Only reads, at this rate in hits a second.
-    pub fn reads(rate: f64, seed: u64) -> Self {
+    pub fn repeatable(rate: f64, seed: u64) -> Self {
         let kind = HitKind {
-            group: crate::site::READ,
+            group: crate::site::REPEATABLE,
             share: 1.0,
             body_bytes: 0,
             client_timeout: Duration::from_millis(900),
@@ -60,7 +60,7 @@
         let client_timeout = Duration::from_millis(900);
         let kind = |group, share, body_bytes| HitKind { group, share, body_bytes, client_timeout };
         let kinds = vec![kind(0, 0.7, 0), kind(1, 0.2, 200), kind(2, 0.1, 200)];
-        LoadPlan { kinds, ..LoadPlan::reads(rate, seed) }
+        LoadPlan { kinds, ..LoadPlan::repeatable(rate, seed) }
     }
 }
 
@@ -110,7 +110,7 @@
     groups: Vec<PathGroup>,
     addrs: Vec<SocketAddr>,
     plan: LoadPlan,
-    idle: Mutex<Vec<(usize, Conn)>>,
+    idle: Mutex<Vec<(usize, Connection)>>,
     open_connections: Arc<AtomicU64>,
     ids: AtomicU64,
     stats: Mutex<Vec<GroupStats>>,
@@ -119,7 +119,7 @@
 }
 
 /// A connection that counts against the limit of the load.
-struct Conn {
+struct Connection {
     stream: Stream,
     messages: MessageReader,
     _permit: Permit,
@@ -331,7 +331,7 @@
     }
 
     /// An idle connection to the marshal, or a new one, and whether it is new.
-    async fn connection(&self, marshal: usize) -> Option<(Conn, bool)> {
+    async fn connection(&self, marshal: usize) -> Option<(Connection, bool)> {
         let permit = loop {
             let idle = {
                 let mut idle = lock(&self.0.idle);
@@ -348,7 +348,7 @@
         };
         let stream = Stream::connect(self.0.addrs[marshal]).await.ok()?;
         let _ = stream.get_ref().set_nodelay(true);
-        Some((Conn { stream, messages: MessageReader::default(), _permit: permit }, true))
+        Some((Connection { stream, messages: MessageReader::default(), _permit: permit }, true))
     }
 }
 
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -129,9 +129,9 @@
         Command::Soak { scenario, marshal, out } => {
             let scenario = soak::Scenario::read(&scenario)?;
             let (program, bar) = (marshal.program()?, progress_bar());
-            let report = soak::run(&scenario, &program, out.as_deref(), |elapsed, length, trouble| {
+            let report = soak::run(&scenario, &program, out.as_deref(), |elapsed, length, fault| {
                 bar.set_position((elapsed.as_secs_f64() / length.as_secs_f64() * 1_000.0) as u64);
-                bar.set_message(trouble.name());
+                bar.set_message(fault.name());
             })?;
             bar.finish_and_clear();
             println!("{}", report.table());
--- a/crates/lab/src/misbehaving.rs
+++ b/crates/lab/src/misbehaving.rs
@@ -22,11 +22,11 @@
     /// Sends hits and never reads an answer.
     NeverReads,
     /// Sends a command with a large body except for its last byte, and waits.
-    HalfCommand,
+    IncompleteCommand,
     /// Connects and sends nothing.
-    Mute,
+    SendsNothing,
     /// Sends a hit and closes the connection at once.
-    LeavesAtOnce,
+    DisconnectsAtOnce,
     /// Sends one hit, and keeps the connection open and idle.
     StaysIdle,
 }
@@ -130,13 +130,13 @@
                 wire::write(&mut &*stream, &command).await?;
                 Timer::after(Duration::from_millis(5)).await;
             },
-            Misbehavior::HalfCommand => {
+            Misbehavior::IncompleteCommand => {
                 let command = self.command();
                 wire::write(&mut &*stream, &command[..command.len() - 1]).await?;
                 self.until_closed(stream).await
             }
-            Misbehavior::Mute => self.until_closed(stream).await,
-            Misbehavior::LeavesAtOnce => {
+            Misbehavior::SendsNothing => self.until_closed(stream).await,
+            Misbehavior::DisconnectsAtOnce => {
                 let command = self.command();
                 wire::write(&mut &*stream, &command).await
             }
--- a/crates/lab/src/node.rs
+++ b/crates/lab/src/node.rs
@@ -57,7 +57,7 @@
     pub work_sigma: f64,
     /// Size of a value.
     pub value_bytes: usize,
-    /// Shares of the commands that get an error, an unreadable reply, or the value of another hit.
+    /// Shares of the commands, 0 to 1, that get an error, a malformed reply, or the value of another hit.
     pub error_rate: f64,
     pub malformed_rate: f64,
     pub wrong_value_rate: f64,
@@ -65,8 +65,8 @@
     pub work_factor: f64,
     /// If set, only this path group has errors, wrong values and the work factor.
     pub affected_group: Option<String>,
-    /// Time that the idempotency key of a tagged hit is remembered.
-    pub dedup_memory: Duration,
+    /// Time for which the idempotency key of a tagged hit is remembered.
+    pub dedup_window: Duration,
 }
 
 impl Default for NodeBehavior {
@@ -81,24 +81,24 @@
             wrong_value_rate: 0.0,
             work_factor: 1.0,
             affected_group: None,
-            dedup_memory: Duration::from_millis(1_000),
+            dedup_window: Duration::from_millis(1_000),
         }
     }
 }
 
 /// A reply that has not been sent yet.
 struct PendingReply {
-    at: Instant,
+    send_at: Instant,
     text: Vec<u8>,
     /// Whether the connection is closed after it.
     close: bool,
     /// Number of commands the node must have received before the reply is sent.
-    after: u64,
+    min_commands_received: u64,
 }
 
 impl PendingReply {
-    fn at(at: Instant, text: Vec<u8>) -> Self {
-        PendingReply { at, text, close: false, after: 0 }
+    fn at(send_at: Instant, text: Vec<u8>) -> Self {
+        PendingReply { send_at, text, close: false, min_commands_received: 0 }
     }
 }
 
@@ -111,7 +111,7 @@
     core_free_at: Vec<Instant>,
     commands_received: u64,
     connections: usize,
-    /// Number of restarts: connections of an earlier process end.
+    /// Number of restarts so far; connections of an earlier incarnation end.
     incarnation: u64,
 }
 
@@ -197,7 +197,7 @@
         inner.core_free_at = vec![Instant::now(); inner.behavior.cores.max(1)];
     }
 
-    /// Replies to the next commands, ahead of what the behavior gives.
+    /// Appends scripted replies, which the next commands get in place of those that the behavior gives.
     pub fn script(&self, replies: impl IntoIterator<Item = ScriptedReply>) {
         self.lock().script.extend(replies);
     }
@@ -288,13 +288,13 @@
             if skipped_reply && self.lock().fault_mode != FaultMode::Silent {
                 return;
             }
-            let due = pending_replies.front().map(|reply| (reply.at, reply.after));
+            let due = pending_replies.front().map(|reply| (reply.send_at, reply.min_commands_received));
             let next = async { Some(messages.next(&mut &**stream).await) };
             let answer = async {
                 match due {
-                    Some((at, after)) => {
-                        Timer::at(at).await;
-                        while self.commands_received() < after {
+                    Some((send_at, min_commands_received)) => {
+                        Timer::at(send_at).await;
+                        while self.commands_received() < min_commands_received {
                             Timer::after(Duration::from_millis(1)).await;
                         }
                     }
@@ -378,7 +378,7 @@
             (Some(ScriptedReply::ServeAfterNextCommand), _) => {
                 self.record_execution(&id, idempotency_key.as_deref());
                 pending_replies.push_back(PendingReply {
-                    after: command_number + 1,
+                    min_commands_received: command_number + 1,
                     ..PendingReply::at(now, value_reply(&id, 7))
                 });
             }
@@ -386,7 +386,7 @@
                 let (ready_at, text) = self.draw_reply(&id, &fields);
                 self.record_execution(&id, idempotency_key.as_deref());
                 // Replies go out in the order of their commands.
-                let ready_at = pending_replies.back().map_or(ready_at, |last| ready_at.max(last.at));
+                let ready_at = pending_replies.back().map_or(ready_at, |last| ready_at.max(last.send_at));
                 pending_replies.push_back(PendingReply::at(ready_at, text));
             }
         }
@@ -399,7 +399,7 @@
         let Inner { behavior, rng, core_free_at, .. } = &mut *inner;
         let affected =
             behavior.affected_group.as_deref().is_none_or(|only| list_value(fields, "c") == Some(only));
-        let rate_here = |share: f64| if affected { share } else { 0.0 };
+        let rate_if_affected = |rate: f64| if affected { rate } else { 0.0 };
         let work_noise = LogNormal::new(0.0, behavior.work_sigma.max(0.0)).map_or(1.0, |d| d.sample(rng));
         let work =
             behavior.work_median.mul_f64(work_noise * if affected { behavior.work_factor } else { 1.0 });
@@ -408,12 +408,14 @@
         let ready_at = (*free_at).max(now) + work;
         *free_at = ready_at;
         let outcome_draw: f64 = rng.random_range(0.0..1.0);
-        let text = if outcome_draw < rate_here(behavior.error_rate) {
+        let text = if outcome_draw < rate_if_affected(behavior.error_rate) {
             format!("-ERR failed {LOAD_REPORT}\r\n").into_bytes()
-        } else if outcome_draw < rate_here(behavior.error_rate) + behavior.malformed_rate {
+        } else if outcome_draw < rate_if_affected(behavior.error_rate) + behavior.malformed_rate {
             malformed_reply(rng)
         } else if outcome_draw
-            < rate_here(behavior.error_rate) + behavior.malformed_rate + rate_here(behavior.wrong_value_rate)
+            < rate_if_affected(behavior.error_rate)
+                + behavior.malformed_rate
+                + rate_if_affected(behavior.wrong_value_rate)
         {
             value_reply("another", behavior.value_bytes)
         } else {
@@ -425,10 +427,12 @@
     /// Records an execution with the checker, unless the command is a repeat.
     fn record_execution(&self, id: &str, idempotency_key: Option<&str>) {
         let now = self.clock.now();
-        let memory = Span::nanos(self.lock().behavior.dedup_memory.as_nanos() as u64);
+        let dedup_window = Span::nanos(self.lock().behavior.dedup_window.as_nanos() as u64);
         let mut checker = self.checker.lock();
         // Repeats are dropped across all nodes together.
-        if !idempotency_key.is_some_and(|idempotency_key| checker.is_repeat(idempotency_key, memory, now)) {
+        if !idempotency_key
+            .is_some_and(|idempotency_key| checker.check_and_record_key(idempotency_key, dedup_window, now))
+        {
             checker.command_executed(&self.name, id, now);
         }
     }
@@ -445,7 +449,7 @@
     out
 }
 
-/// An unreadable reply, of a kind drawn at random.
+/// A malformed reply, of a kind drawn at random.
 fn malformed_reply(rng: &mut Pcg64Mcg) -> Vec<u8> {
     let kinds: [&[u8]; 5] = [
         b"\x00\x17noise\xff\xff\r\n",
--- a/crates/lab/src/release.rs
+++ b/crates/lab/src/release.rs
@@ -10,9 +10,9 @@
     Announce(u8, &'static str, f64),
     /// Start this many nodes of the new build.
     StartNodes(usize),
-    /// Drain this many nodes of the earlier build.
+    /// Drain this many nodes of the previous build.
     DrainNodes(usize),
-    /// Drain all nodes of the new build, and start this many of the earlier one.
+    /// Drain all nodes of the new build, and start this many of the previous one.
     RollBack(usize),
     /// Remove the nodes that are draining.
     RemoveDrained,
@@ -25,39 +25,40 @@
     /// In this stage: its nodes are starting, then serving.
     Starting(usize),
     Serving(usize),
-    /// Rolling back, until the nodes of the earlier build have started.
+    /// Rolling back, until the nodes of the previous build have started.
     RollingBack,
     /// Released.
     Live,
-    /// Rolled back, and the earlier build's nodes have started.
+    /// Rolled back, and the previous build's nodes have started.
     Recalled,
 }
 
 /// Plan of a release.
 #[derive(Clone, Debug)]
 pub struct ReleasePlan {
-    pub nodes: usize,
+    pub node_count: usize,
     /// Share of the fleet by stage, which is also the stage's cap; the last is 1.
     pub stage_shares: Vec<f64>,
-    /// Time that a node takes to start, and that a stage lasts after it.
-    pub node_start: Duration,
+    /// Time that a node takes to start, and that a stage lasts once its nodes have started.
+    pub node_start_duration: Duration,
     pub stage_duration: Duration,
 }
 
-#[derive(Debug)]
 /// A release under way.
+#[derive(Debug)]
 pub struct Release {
     plan: ReleasePlan,
     state: State,
-    since: Duration,
-    /// Nodes of the new build started so far, and of the earlier one drained.
+    /// Time at which the state was entered.
+    state_since: Duration,
+    /// Nodes of the new build started so far, and of the previous one drained.
     started: usize,
     drained: usize,
 }
 
 impl Release {
     pub fn new(plan: ReleasePlan, now: Duration) -> Self {
-        Release { plan, state: State::Offered, since: now, started: 0, drained: 0 }
+        Release { plan, state: State::Offered, state_since: now, started: 0, drained: 0 }
     }
 
     /// Whether the build was released (true) or rolled back (false); none while the release is under way.
@@ -78,9 +79,9 @@
         }
     }
 
-    /// The only place where the state changes.
-    fn enter_state(&mut self, to: State, now: Duration) {
-        (self.state, self.since) = (to, now);
+    /// Changes the state; no other code does.
+    fn enter_state(&mut self, state: State, now: Duration) {
+        (self.state, self.state_since) = (state, now);
     }
 
     fn cap(&self, stage: usize) -> f64 {
@@ -89,7 +90,7 @@
 
     /// Starts a stage: reports it, and starts as many nodes as its share asks for.
     fn enter_stage(&mut self, stage: usize, now: Duration) -> Vec<Action> {
-        let target_nodes = (self.cap(stage) * self.plan.nodes as f64).ceil() as usize;
+        let target_nodes = (self.cap(stage) * self.plan.node_count as f64).ceil() as usize;
         let additional = target_nodes.saturating_sub(self.started);
         self.started += additional;
         self.enter_state(State::Starting(stage), now);
@@ -99,7 +100,7 @@
     /// Actions due at `now`. `stop_vote` is true while a vote against the build is valid, `hold_vote` while one holds
     /// the stage.
     pub fn poll(&mut self, now: Duration, stop_vote: bool, hold_vote: bool) -> Vec<Action> {
-        let age = now.saturating_sub(self.since);
+        let age = now.saturating_sub(self.state_since);
         match self.state {
             State::Live | State::Recalled => Vec::new(),
             State::Starting(_) | State::Serving(_) if stop_vote => {
@@ -107,7 +108,7 @@
                 vec![Action::Announce(0, "recalling", 0.0), Action::RollBack(self.drained)]
             }
             State::Offered => self.enter_stage(0, now),
-            State::Starting(stage) if age >= self.plan.node_start => {
+            State::Starting(stage) if age >= self.plan.node_start_duration => {
                 let to_drain = self.started - self.drained;
                 self.drained = self.started;
                 self.enter_state(State::Serving(stage), now);
@@ -123,7 +124,7 @@
                 }
                 actions
             }
-            State::RollingBack if age >= self.plan.node_start => {
+            State::RollingBack if age >= self.plan.node_start_duration => {
                 self.enter_state(State::Recalled, now);
                 vec![Action::RemoveDrained, Action::Announce(0, "recalled", 0.0)]
             }
--- a/crates/lab/src/site.rs
+++ b/crates/lab/src/site.rs
@@ -18,20 +18,20 @@
 }
 
 /// Time that the idempotency key of a tagged hit is remembered at this site.
-pub const DEDUP_MEMORY: Duration = Duration::from_millis(3_000);
+pub const DEDUP_WINDOW: Duration = Duration::from_millis(3_000);
 
-/// Index of the repeatable path group in `groups`.
-pub const READ: usize = 0;
-/// Index of the tagged path group in `groups`.
-pub const PUSH: usize = 1;
-/// Index of the mutating path group in `groups`.
-pub const BOOK: usize = 2;
+/// Index of the repeatable path group in `path_groups`.
+pub const REPEATABLE: usize = 0;
+/// Index of the tagged path group in `path_groups`.
+pub const TAGGED: usize = 1;
+/// Index of the mutating path group in `path_groups`.
+pub const MUTATING: usize = 2;
 
 /// One path group of each kind, in the order of the constants above.
-pub fn groups() -> Vec<PathGroup> {
+pub fn path_groups() -> Vec<PathGroup> {
     let tagged = Effect::Tagged {
         scope: DedupScope::All,
-        dedup_window: Span::millis(DEDUP_MEMORY.as_millis() as u64),
+        dedup_window: Span::millis(DEDUP_WINDOW.as_millis() as u64),
     };
     let group = |name, effect, benefit| PathGroup {
         name,
@@ -55,11 +55,11 @@
             Effect::Mutating => "fragile",
         };
         json!({"name": group.name, "aim_ns": group.latency_target.as_nanos() as u64, "deadline_ns": 1_500_000_000u64,
-            "effect": effect, "dedup_scope": "all", "memory_span_ns": DEDUP_MEMORY.as_nanos() as u64,
+            "effect": effect, "dedup_scope": "all", "memory_span_ns": DEDUP_WINDOW.as_nanos() as u64,
             "worth": group.benefit})
     };
     json!({"azs": ["a", "b"], "flavors": ["m"], "me": 0, "siblings": 1, "zone": 0, "tick_ns": 1_000_000u64,
-        "classes": groups().into_iter().map(class).collect::<Vec<_>>(),
+        "classes": path_groups().into_iter().map(class).collect::<Vec<_>>(),
         "realms": [{"name": "acme", "share": 1.0}],
         "limits": {"attempts_cap": 5, "cancelling": true, "second_copies": true, "retry_after": true,
             "max_retry_after_ns": 250_000_000u64, "connect_timeout_ns": 250_000_000u64,
--- a/crates/lab/src/soak.rs
+++ b/crates/lab/src/soak.rs
@@ -3,13 +3,13 @@
 
 use crate::faults::{self, Fault, FaultSchedule};
 use crate::load::{GroupStats, Load, LoadPlan};
-use crate::misbehaving::{self, MisbehavingClients};
+use crate::misbehaving::{MisbehavingClients, Misbehavior};
 use crate::node::{FaultMode, NodeBehavior};
 use crate::plot;
 use crate::program::unique_temp_path;
 use crate::release::ReleasePlan;
 use crate::rollout::Rollout;
-use crate::site::{Limits, PUSH, READ};
+use crate::site::{Limits, REPEATABLE, TAGGED};
 use crate::trend::Trend;
 use crate::world::{FIRST_BUILD, World};
 use serde_json::Value;
@@ -21,7 +21,7 @@
 use stonescale_operator::{IniSettings, ini_settings};
 
 const MIB: f64 = 1024.0 * 1024.0;
-/// Interval at which the run applies troubles, advances a release and reads the marshal's log.
+/// Interval at which the run starts and ends faults, advances a release and reads the marshal's log.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Unaccounted memory up to this size is always tolerated: it covers what the process holds before it serves any
 /// client, with some margin.
@@ -30,26 +30,27 @@
 /// Settings of a soak test, read from an INI file.
 #[derive(Clone, Debug)]
 pub struct Scenario {
-    /// Seed of the load and of the order of the troubles.
+    /// Seed of the load and of the order of the faults.
     pub seed: u64,
-    pub nodes: usize,
+    pub node_count: usize,
     pub limits: Limits,
-    /// Time after which nodes close an idle connection, as stated in the marshal's settings. Connections that a trouble
-    /// leaves open must close soon after it; otherwise the order of the troubles shows up as noise in the samples that
-    /// are taken while no trouble is on.
+    /// Time after which nodes close an idle connection, as stated in the marshal's settings. Connections left open by a
+    /// fault must close soon after it; otherwise the order of the faults shows up as noise in the samples that are taken
+    /// without a fault.
     pub keepalive: Duration,
     /// Hits per second of well-behaved clients.
     pub hits_per_second: f64,
-    /// Number of misbehaving clients in a phase whose trouble consists of them.
-    pub rogues_per_trouble: usize,
-    /// Length of a phase, which has one trouble in its first half and none in the second.
+    /// Number of misbehaving clients in a phase whose fault consists of them.
+    pub misbehaving_clients_per_phase: usize,
+    /// Length of a phase, which has one fault in its first half and none in the second.
     pub phase_length: Duration,
     pub cycles: usize,
     /// Number of cycles at the start that are excluded from the verdict.
     pub warm_up_cycles: usize,
     /// Interval of the marshal's memory reports.
     pub sample_interval: Duration,
-    pub troubles: Vec<Fault>,
+    /// The faults of each cycle, one a phase.
+    pub faults: Vec<Fault>,
     /// Tolerated growth of a purpose, in bytes per second; compared with the upper bound of the slope.
     pub max_purpose_slope: f64,
     /// Tolerated growth of the resident size and of its unaccounted part, in bytes per second.
@@ -70,10 +71,10 @@
     }
 }
 
-/// Parses `all` or a comma-separated list of troubles.
-fn parse_troubles(text: &str) -> Result<Vec<Fault>, String> {
+/// Parses `all` or a comma-separated list of fault names.
+fn parse_faults(text: &str) -> Result<Vec<Fault>, String> {
     if text == "all" {
-        return Ok(faults::ALL.to_vec());
+        return Ok(faults::ALL_FAULTS.to_vec());
     }
     let parse =
         |name: &str| Fault::from_name(name).ok_or_else(|| format!("names an unknown trouble '{name}'"));
@@ -91,35 +92,34 @@
     }
 
     /// Takes a scenario from parsed settings; a wrong value or an unknown key is an error that names its line.
-    pub fn from_settings(mut sheet: IniSettings) -> Result<Self, String> {
-        let take_duration = |sheet: &mut IniSettings, key, default| {
-            sheet
-                .take_value("soak", key, default, ini_settings::parse_duration, |s| {
-                    ini_settings::format_duration(*s)
-                })
-                .map(to_duration)
+    pub fn from_settings(mut ini: IniSettings) -> Result<Self, String> {
+        let take_duration = |ini: &mut IniSettings, key, default| {
+            ini.take_value("soak", key, default, ini_settings::parse_duration, |s| {
+                ini_settings::format_duration(*s)
+            })
+            .map(to_duration)
         };
-        let phase_length = take_duration(&mut sheet, "phase", Span::millis(4_000))?;
-        let sample_interval = take_duration(&mut sheet, "sample", Span::millis(500))?;
-        let keepalive = take_duration(&mut sheet, "keepalive", Span::millis(3_000))?;
+        let phase_length = take_duration(&mut ini, "phase", Span::millis(4_000))?;
+        let sample_interval = take_duration(&mut ini, "sample", Span::millis(500))?;
+        let keepalive = take_duration(&mut ini, "keepalive", Span::millis(3_000))?;
         if phase_length.is_zero() || sample_interval.is_zero() {
-            return Err(sheet.error_message("soak", Some("phase"), "and sample must be greater than zero"));
+            return Err(ini.error_message("soak", Some("phase"), "and sample must be greater than zero"));
         }
         let scenario = Scenario {
             phase_length,
             sample_interval,
             keepalive,
-            seed: sheet.take_value("soak", "seed", 1, parse_number(0, u64::MAX), u64::to_string)?,
-            nodes: sheet.take_value("soak", "nodes", 6, parse_number(1, 200), usize::to_string)?,
+            seed: ini.take_value("soak", "seed", 1, parse_number(0, u64::MAX), u64::to_string)?,
+            node_count: ini.take_value("soak", "nodes", 6, parse_number(1, 200), usize::to_string)?,
             limits: Limits {
-                memory_mb: sheet.take_value(
+                memory_mb: ini.take_value(
                     "soak",
                     "memory_mb",
                     32,
                     parse_number(1, 65_536),
                     usize::to_string,
                 )?,
-                sockets: sheet.take_value(
+                sockets: ini.take_value(
                     "soak",
                     "sockets",
                     512,
@@ -127,57 +127,57 @@
                     usize::to_string,
                 )?,
             },
-            hits_per_second: sheet.take_value(
+            hits_per_second: ini.take_value(
                 "soak",
                 "rate",
                 200.0,
                 parse_number(1.0, 100_000.0),
                 f64::to_string,
             )?,
-            rogues_per_trouble: sheet.take_value(
+            misbehaving_clients_per_phase: ini.take_value(
                 "soak",
                 "rogues",
                 40,
                 parse_number(1, 10_000),
                 usize::to_string,
             )?,
-            cycles: sheet.take_value("soak", "cycles", 2, parse_number(1, 10_000), usize::to_string)?,
-            warm_up_cycles: sheet.take_value(
+            cycles: ini.take_value("soak", "cycles", 2, parse_number(1, 10_000), usize::to_string)?,
+            warm_up_cycles: ini.take_value(
                 "soak",
                 "warm_up",
                 1,
                 parse_number(0, 10_000),
                 usize::to_string,
             )?,
-            troubles: sheet.take_value(
+            faults: ini.take_value(
                 "soak",
                 "troubles",
-                faults::ALL.to_vec(),
-                parse_troubles,
-                |troubles| troubles.iter().map(|t| t.name()).collect::<Vec<_>>().join(", "),
+                faults::ALL_FAULTS.to_vec(),
+                parse_faults,
+                |faults| faults.iter().map(|fault| fault.name()).collect::<Vec<_>>().join(", "),
             )?,
-            max_purpose_slope: sheet.take_value(
+            max_purpose_slope: ini.take_value(
                 "tolerance",
                 "purposes",
                 500.0,
                 parse_number(0.0, 1e9),
                 f64::to_string,
             )?,
-            max_resident_slope: sheet.take_value(
+            max_resident_slope: ini.take_value(
                 "tolerance",
                 "resident",
                 4_000.0,
                 parse_number(0.0, 1e9),
                 f64::to_string,
             )?,
-            max_descriptor_slope: sheet.take_value(
+            max_descriptor_slope: ini.take_value(
                 "tolerance",
                 "descriptors",
                 0.2,
                 parse_number(0.0, 1e9),
                 f64::to_string,
             )?,
-            max_unaccounted_share: sheet.take_value(
+            max_unaccounted_share: ini.take_value(
                 "tolerance",
                 "unaccounted",
                 0.15,
@@ -185,7 +185,7 @@
                 |share| format!("{:.0}%", share * 100.0),
             )?,
         };
-        sheet.finish()?;
+        ini.finish()?;
         Ok(scenario)
     }
 }
@@ -194,7 +194,7 @@
 #[derive(Clone, Debug)]
 pub struct ReportRow {
     pub name: String,
-    /// Trend of the samples taken while no trouble is on; the maximum is that of the whole run.
+    /// Trend of the samples taken without a fault; the maximum is that of the whole run.
     pub trend: Trend,
     /// Tolerated slope, in units per second.
     pub tolerance: f64,
@@ -211,10 +211,10 @@
     pub max_resident_bytes: f64,
     pub memory_limit_bytes: f64,
     /// Results of the well-behaved clients, by path group.
-    pub tallies: Vec<GroupStats>,
-    /// Hits sent by misbehaving clients.
-    pub rogue_hits: u64,
-    /// Builds offered besides the first one.
+    pub group_stats: Vec<GroupStats>,
+    /// Hits sent by all misbehaving clients.
+    pub misbehaving_client_hits: u64,
+    /// Builds whose release was started, besides the initial one.
     pub builds_offered: u64,
     pub duration_seconds: f64,
     /// Processor time of the marshal.
@@ -225,32 +225,32 @@
     pub missed_tolerances: Vec<String>,
 }
 
-/// Samples (seconds, value) by name.
+/// Samples (seconds since the start, value) by name.
 type Series = BTreeMap<String, Vec<(f64, f64)>>;
 
 /// State of a running soak test.
 struct SoakRun<'a> {
     scenario: &'a Scenario,
     world: World,
-    rogues: Option<MisbehavingClients>,
-    rogue_hits: u64,
+    misbehaving_clients: Option<MisbehavingClients>,
+    misbehaving_client_hits: u64,
     rollout: Option<Rollout>,
-    /// The build that was released last.
+    /// The latest build that was released to all nodes.
     released_build: u16,
     builds_offered: u64,
-    /// How nodes work while no trouble changes it.
-    normal_manner: NodeBehavior,
+    /// Behavior of the nodes while no fault changes it.
+    normal_behavior: NodeBehavior,
     series: Series,
-    /// Samples taken while no trouble is on: only what is held permanently shows in them.
+    /// Samples taken without a fault: only what is held permanently shows in them.
     quiet_series: Series,
-    /// Start of the present time without a trouble, in seconds since the start of the run.
+    /// Start of the current period without a fault, in seconds since the start of the run.
     quiet_since: Option<f64>,
     /// Caps in bytes, by purpose.
     caps: BTreeMap<String, f64>,
 }
 
 /// Runs a soak test against this binary and writes samples, plots and report to `output_folder`, if given.
-/// `on_progress` is called at every poll with the elapsed time, the total length and the trouble of the present phase.
+/// `on_progress` is called at every poll with the elapsed time, the total length and the fault of the current phase.
 pub fn run(
     scenario: &Scenario, binary: &Path, output_folder: Option<&Path>,
     mut on_progress: impl FnMut(Duration, Duration, Fault),
@@ -260,53 +260,59 @@
     let text =
         format!("[log]\nformat = json\nlines_per_second = 10000\n[memory]\nreport_every = {report_every}\n");
     std::fs::write(&operator_file, text).map_err(|e| format!("{}: {e}", operator_file.display()))?;
-    let normal_manner = NodeBehavior { cores: 8, ..NodeBehavior::default() };
+    let normal_behavior = NodeBehavior { cores: 8, ..NodeBehavior::default() };
     let args = ["--operator", operator_file.to_str().unwrap_or_default()];
     let keepalive = scenario.keepalive.as_nanos() as u64;
-    let change = |config: &mut Value| config["settings"]["limits"]["keepalive_ns"] = keepalive.into();
-    let world =
-        World::start_with_config(binary, scenario.nodes, scenario.limits, &normal_manner, &args, change)?;
+    let set_keepalive = |config: &mut Value| config["settings"]["limits"]["keepalive_ns"] = keepalive.into();
+    let world = World::start_with_config(
+        binary,
+        scenario.node_count,
+        scenario.limits,
+        &normal_behavior,
+        &args,
+        set_keepalive,
+    )?;
     let load = world.start_load(LoadPlan::mixed(scenario.hits_per_second, scenario.seed));
     let schedule =
-        FaultSchedule::generate(&scenario.troubles, scenario.cycles, scenario.phase_length, scenario.seed);
+        FaultSchedule::generate(&scenario.faults, scenario.cycles, scenario.phase_length, scenario.seed);
     let mut run = SoakRun {
         scenario,
         world,
-        rogues: None,
-        rogue_hits: 0,
+        misbehaving_clients: None,
+        misbehaving_client_hits: 0,
         rollout: None,
         released_build: FIRST_BUILD,
         builds_offered: 0,
-        normal_manner,
+        normal_behavior,
         series: Series::new(),
         quiet_series: Series::new(),
         quiet_since: None,
         caps: BTreeMap::new(),
     };
     let mut previous = None;
-    let start = run.world.stage.clock.elapsed();
+    let start = run.world.runtime.clock.elapsed();
     loop {
-        let elapsed = run.world.stage.clock.elapsed() - start;
-        let Some((phase, trouble, active)) = schedule.phase_at(elapsed) else { break };
+        let elapsed = run.world.runtime.clock.elapsed() - start;
+        let Some((phase, fault, active)) = schedule.phase_at(elapsed) else { break };
         if previous != Some((phase, active)) {
             previous = Some((phase, active));
-            run.end_trouble();
+            run.end_fault();
             run.quiet_since = (!active).then_some(elapsed.as_secs_f64());
             if active {
-                run.start_trouble(trouble, elapsed);
+                run.start_fault(fault, elapsed);
             }
         }
-        if trouble == Fault::Restarts && active {
+        if fault == Fault::Restarts && active {
             run.restart_due_node(elapsed);
         }
         run.poll(elapsed);
-        on_progress(elapsed, schedule.duration(), trouble);
+        on_progress(elapsed, schedule.duration(), fault);
         if let Some(status) = run.world.program.exit_status() {
             return Err(format!("the marshal exited during the soak: {status}"));
         }
         std::thread::sleep(POLL_INTERVAL);
     }
-    run.end_trouble();
+    run.end_fault();
     let report = run.evaluate(&load, &schedule);
     if let Some(folder) = output_folder {
         std::fs::create_dir_all(folder).map_err(|e| format!("{}: {e}", folder.display()))?;
@@ -317,55 +323,69 @@
 }
 
 impl SoakRun<'_> {
-    /// Ends the trouble of the previous phase.
-    fn end_trouble(&mut self) {
-        if let Some(rogues) = self.rogues.take() {
-            self.rogue_hits += rogues.sent.load(std::sync::atomic::Ordering::Relaxed);
+    /// Ends the fault of the previous phase.
+    fn end_fault(&mut self) {
+        if let Some(clients) = self.misbehaving_clients.take() {
+            self.misbehaving_client_hits += clients.sent.load(std::sync::atomic::Ordering::Relaxed);
         }
-        self.world.set_all_nodes_mode(FaultMode::Healthy);
+        self.world.set_fault_mode_of_all_nodes(FaultMode::Healthy);
         self.world.discovery.set_down(false);
         self.world.platform.set_silent(false);
-        let (released, normal) = (self.released_build, self.normal_manner.clone()); // Not while a release is under way: its nodes keep the manner of their build.
-        let offered = self.rollout.as_ref().map(|r| r.build).filter(|b| *b != released);
-        if offered.is_none() {
-            self.world.nodes.iter().for_each(|n| n.update_behavior(|m| *m = normal.clone()));
+        let (released, normal) = (self.released_build, self.normal_behavior.clone());
+        // While a release is under way, nodes keep the behavior of their build.
+        let build_on_trial = self.rollout.as_ref().map(|r| r.build).filter(|b| *b != released);
+        if build_on_trial.is_none() {
+            self.world.nodes.iter().for_each(|n| n.update_behavior(|behavior| *behavior = normal.clone()));
         }
     }
 
-    /// Starts the trouble of the present phase.
-    fn start_trouble(&mut self, trouble: Fault, elapsed: Duration) {
-        let (world, rogue_count) = (&self.world, self.scenario.rogues_per_trouble);
-        let half = world.nodes.len().div_ceil(2);
-        let rogues = |manner, group, body| Some(world.start_rogues(manner, rogue_count, group, body));
+    /// Starts the fault of the current phase.
+    fn start_fault(&mut self, fault: Fault, elapsed: Duration) {
+        let (world, client_count) = (&self.world, self.scenario.misbehaving_clients_per_phase);
+        let half_count = world.nodes.len().div_ceil(2);
+        let start_clients = |misbehavior, group, body_bytes| {
+            Some(world.start_misbehaving_clients(misbehavior, client_count, group, body_bytes))
+        };
         let change =
             |change: fn(&mut NodeBehavior)| world.nodes.iter().for_each(|n| n.update_behavior(change));
-        match trouble {
+        match fault {
             Fault::Calm | Fault::Restarts => {}
-            Fault::Silent => world.nodes[..half].iter().for_each(|n| n.set_fault_mode(FaultMode::Silent)),
-            Fault::AllSilent => world.set_all_nodes_mode(FaultMode::Silent),
-            Fault::Slow => change(|m| m.work_median *= 8),
-            Fault::Resets => world.nodes[..half].iter().for_each(|n| n.set_fault_mode(FaultMode::Resetting)),
-            Fault::Spoilt => change(|m| m.malformed_rate = 0.1),
+            Fault::Silent => {
+                world.nodes[..half_count].iter().for_each(|n| n.set_fault_mode(FaultMode::Silent))
+            }
+            Fault::AllSilent => world.set_fault_mode_of_all_nodes(FaultMode::Silent),
+            Fault::Slow => change(|behavior| behavior.work_median *= 8),
+            Fault::Resets => {
+                world.nodes[..half_count].iter().for_each(|n| n.set_fault_mode(FaultMode::Resetting))
+            }
+            Fault::Spoilt => change(|behavior| behavior.malformed_rate = 0.1),
             Fault::Deaf => world.nodes[0].set_fault_mode(FaultMode::NotReading),
-            Fault::LargeValues => change(|m| m.value_bytes = 60_000),
-            Fault::Flood => self.rogues = rogues(misbehaving::Misbehavior::Flood, PUSH, 40_000),
-            Fault::NeverRead => self.rogues = rogues(misbehaving::Misbehavior::NeverReads, READ, 0),
-            Fault::Half => self.rogues = rogues(misbehaving::Misbehavior::HalfCommand, PUSH, 65_000),
-            Fault::Mute => self.rogues = rogues(misbehaving::Misbehavior::Mute, READ, 0),
-            Fault::Leave => self.rogues = rogues(misbehaving::Misbehavior::LeavesAtOnce, READ, 0),
-            Fault::Stay => self.rogues = rogues(misbehaving::Misbehavior::StaysIdle, READ, 0),
+            Fault::LargeValues => change(|behavior| behavior.value_bytes = 60_000),
+            Fault::Flood => self.misbehaving_clients = start_clients(Misbehavior::Flood, TAGGED, 40_000),
+            Fault::NeverRead => {
+                self.misbehaving_clients = start_clients(Misbehavior::NeverReads, REPEATABLE, 0)
+            }
+            Fault::Half => {
+                self.misbehaving_clients = start_clients(Misbehavior::IncompleteCommand, TAGGED, 65_000)
+            }
+            Fault::Mute => self.misbehaving_clients = start_clients(Misbehavior::SendsNothing, REPEATABLE, 0),
+            Fault::Leave => {
+                self.misbehaving_clients = start_clients(Misbehavior::DisconnectsAtOnce, REPEATABLE, 0)
+            }
+            Fault::Stay => self.misbehaving_clients = start_clients(Misbehavior::StaysIdle, REPEATABLE, 0),
             Fault::Outage => {
                 world.discovery.set_down(true);
                 world.platform.set_silent(true);
             }
             Fault::GoodBuild | Fault::BadBuild if self.rollout.is_none() => {
-                let fails = if trouble == Fault::BadBuild { 0.4 } else { 0.0 };
-                let manner = NodeBehavior { error_rate: fails, ..self.normal_manner.clone() }; // Three stages, each with one start and one stage time, take 9/14 of a phase.
+                let error_rate = if fault == Fault::BadBuild { 0.4 } else { 0.0 };
+                let behavior = NodeBehavior { error_rate, ..self.normal_behavior.clone() };
+                // Three stages, each of one part to start nodes and two parts of traffic, take 9/14 of a phase.
                 let part = self.scenario.phase_length / 14;
-                let course = ReleasePlan {
-                    nodes: self.scenario.nodes,
+                let plan = ReleasePlan {
+                    node_count: self.scenario.node_count,
                     stage_shares: vec![0.1, 0.35, 1.0],
-                    node_start: part,
+                    node_start_duration: part,
                     stage_duration: part * 2,
                 };
                 self.builds_offered += 1;
@@ -373,10 +393,10 @@
                 self.rollout = Some(Rollout::new(
                     build,
                     self.released_build,
-                    course,
+                    plan,
                     elapsed,
-                    manner,
-                    self.normal_manner.clone(),
+                    behavior,
+                    self.normal_behavior.clone(),
                 ));
             }
             Fault::GoodBuild | Fault::BadBuild => {}
@@ -385,14 +405,14 @@
 
     /// Restarts the node whose turn it is: one after another, spread evenly over the first half of the phase.
     fn restart_due_node(&mut self, elapsed: Duration) {
-        let (phase_length, nodes) = (self.scenario.phase_length, self.world.nodes.len().max(1) as u32);
-        let interval = phase_length / 2 / nodes;
+        let (phase_length, node_count) = (self.scenario.phase_length, self.world.nodes.len().max(1) as u32);
+        let interval = phase_length / 2 / node_count;
         let in_phase = Duration::from_nanos((elapsed.as_nanos() % phase_length.as_nanos()) as u64);
         if in_phase.as_nanos() % interval.as_nanos().max(1) < POLL_INTERVAL.as_nanos() {
             let node = &self.world.nodes
-                [(in_phase.as_nanos() / interval.as_nanos().max(1)) as usize % nodes as usize];
+                [(in_phase.as_nanos() / interval.as_nanos().max(1)) as usize % node_count as usize];
             node.restart();
-            let since_epoch = self.world.stage.clock.now() - stonescale::state::EPOCH;
+            let since_epoch = self.world.runtime.clock.now() - stonescale::state::EPOCH;
             let names = [node.name.clone()];
             self.world
                 .discovery
@@ -400,10 +420,10 @@
         }
     }
 
-    /// Adds a sample to the series of this name.
-    fn record(&mut self, name: &str, at: f64, value: f64) {
-        // A report may be as old as the last poll, and connections take a moment to close: samples count as quiet
-        // only after an eighth of the phase.
+    /// Adds a sample to the series of this name; `at` is in seconds since the start of the run.
+    fn record_sample(&mut self, name: &str, at: f64, value: f64) {
+        // A report may be as old as the last poll, and connections take a moment to close: samples count as taken
+        // without a fault only after an eighth of the phase.
         let settling_seconds = self.scenario.phase_length.as_secs_f64() / 8.0;
         let quiet = self.quiet_since.is_some_and(|since| at - since >= settling_seconds);
         for series in std::iter::once(&mut self.series).chain(quiet.then_some(&mut self.quiet_series)) {
@@ -433,17 +453,17 @@
                     let (Some(purpose), Some(held)) = (event["purpose"].as_str(), number("held")) else {
                         continue;
                     };
-                    self.record(purpose, at, held);
+                    self.record_sample(purpose, at, held);
                     self.caps.insert(purpose.to_owned(), number("cap").unwrap_or(0.0));
                 }
                 Some("memory of the process") => {
                     for key in ["resident", "unaccounted"] {
                         if let Some(value) = number(key) {
-                            self.record(key, at, value);
+                            self.record_sample(key, at, value);
                         }
                     }
                     if let Some(usage) = self.world.program.usage() {
-                        self.record("descriptors", at, usage.descriptors as f64);
+                        self.record_sample("descriptors", at, usage.descriptors as f64);
                     }
                 }
                 _ => {}
@@ -454,16 +474,16 @@
     /// Judges the samples after the warm-up cycles against the scenario's tolerances.
     fn evaluate(&self, load: &Load, schedule: &FaultSchedule) -> Report {
         let scenario = self.scenario;
-        let cycle_seconds = scenario.phase_length.as_secs_f64() * scenario.troubles.len() as f64;
-        let from = cycle_seconds * scenario.warm_up_cycles as f64;
-        // A block is a whole cycle, so that every block has all troubles in it.
+        let cycle_seconds = scenario.phase_length.as_secs_f64() * scenario.faults.len() as f64;
+        let warm_up_seconds = cycle_seconds * scenario.warm_up_cycles as f64;
+        // A block is a whole cycle, so that every block contains all faults.
         let block_seconds = cycle_seconds;
         let mut rows = Vec::new();
         let mut missed_tolerances = Vec::new();
-        for (name, all) in &self.series {
+        for (name, all_samples) in &self.series {
             let quiet = self.quiet_series.get(name).map_or(&[][..], Vec::as_slice);
-            let after_warm_up: Vec<_> = quiet.iter().copied().filter(|s| s.0 >= from).collect();
-            let max = all.iter().map(|s| s.1).fold(0.0, f64::max);
+            let after_warm_up: Vec<_> = quiet.iter().copied().filter(|s| s.0 >= warm_up_seconds).collect();
+            let max = all_samples.iter().map(|s| s.1).fold(0.0, f64::max);
             let Some(trend) = Trend::fit(&after_warm_up, block_seconds) else {
                 missed_tolerances.push(format!("{name}: too few samples for a trend"));
                 continue;
@@ -488,7 +508,7 @@
         }
         let values_after_warm_up = |name: &str| {
             let series = self.series.get(name).map_or(&[][..], Vec::as_slice);
-            series.iter().filter(|s| s.0 >= from).map(|s| s.1).collect::<Vec<_>>()
+            series.iter().filter(|s| s.0 >= warm_up_seconds).map(|s| s.1).collect::<Vec<_>>()
         };
         let (resident, unaccounted) = (values_after_warm_up("resident"), values_after_warm_up("unaccounted"));
         let max_resident_bytes = resident.iter().copied().fold(0.0, f64::max);
@@ -509,7 +529,7 @@
                 "{max_resident_bytes:.0} bytes were resident, more than the limit of {memory_limit:.0}"
             ));
         }
-        let rule_violations = self.world.books.violation_report();
+        let rule_violations = self.world.checker.violation_report();
         if !rule_violations.is_empty() {
             missed_tolerances.push(format!("rule violations: {rule_violations}"));
         }
@@ -519,8 +539,8 @@
             unaccounted_share_and_max_bytes: (unaccounted_share, max_unaccounted),
             max_resident_bytes,
             memory_limit_bytes: memory_limit,
-            tallies: load.finish(),
-            rogue_hits: self.rogue_hits,
+            group_stats: load.finish(),
+            misbehaving_client_hits: self.misbehaving_client_hits,
             builds_offered: self.builds_offered,
             duration_seconds: schedule.duration().as_secs_f64(),
             cpu_time,
@@ -531,29 +551,29 @@
 
     /// Writes the samples, the plots and the report to a folder.
     fn write_files(&self, folder: &Path, report: &Report) -> Result<(), String> {
-        let error = |e: std::io::Error| format!("{}: {e}", folder.display());
+        let io_error = |e: std::io::Error| format!("{}: {e}", folder.display());
         let mut csv = String::from("seconds,name,value\n");
         for (name, series) in &self.series {
             for (at, value) in series {
                 let _ = writeln!(csv, "{at:.2},{name},{value}");
             }
         }
-        std::fs::write(folder.join("samples.csv"), csv).map_err(error)?;
-        std::fs::write(folder.join("report.md"), report.table()).map_err(error)?;
+        std::fs::write(folder.join("samples.csv"), csv).map_err(io_error)?;
+        std::fs::write(folder.join("report.md"), report.table()).map_err(io_error)?;
         let series_in_kib = |selects: &dyn Fn(&str) -> bool| -> Vec<plot::NamedSeries> {
             let selected = self.series.iter().filter(|(name, _)| selects(name));
             selected
                 .map(|(name, s)| (name.clone(), s.iter().map(|(t, v)| (*t, v / 1024.0)).collect()))
                 .collect()
         };
-        let of_process = ["resident", "unaccounted"];
-        let purposes = series_in_kib(&|name| !of_process.contains(&name) && name != "descriptors");
+        let process_series = ["resident", "unaccounted"];
+        let purposes = series_in_kib(&|name| !process_series.contains(&name) && name != "descriptors");
         plot::draw(&folder.join("purposes.svg"), "Held by purpose", "KiB", &purposes)?;
         plot::draw(
             &folder.join("process.svg"),
             "The process",
             "KiB",
-            &series_in_kib(&|name| of_process.contains(&name)),
+            &series_in_kib(&|name| process_series.contains(&name)),
         )
     }
 }
@@ -562,15 +582,15 @@
     /// The report as Markdown: totals, a table of trends, and the missed tolerances.
     pub fn table(&self) -> String {
         let mut text = String::new();
-        let sum = |f: fn(&GroupStats) -> u64| self.tallies.iter().map(f).sum::<u64>();
-        let (asked, delivered, tries) = (sum(|t| t.hits), sum(|t| t.delivered), sum(|t| t.tries));
+        let sum = |f: fn(&GroupStats) -> u64| self.group_stats.iter().map(f).sum::<u64>();
+        let (hits, delivered, tries) = (sum(|t| t.hits), sum(|t| t.delivered), sum(|t| t.tries));
         let _ = writeln!(
             text,
-            "{:.0} s; {asked} regular hits in {tries} tries, {delivered} delivered; {} hits of misbehaving clients; \
+            "{:.0} s; {hits} regular hits in {tries} tries, {delivered} delivered; {} hits of misbehaving clients; \
              {} builds; {:.1} s of processor time; resident {:.2} MiB at most of {:.0}; \
              unaccounted {:.0} % on average, {:.2} MiB at most\n",
             self.duration_seconds,
-            self.rogue_hits,
+            self.misbehaving_client_hits,
             self.builds_offered,
             self.cpu_time.as_secs_f64(),
             self.max_resident_bytes / MIB,
--- a/crates/lab/src/trend.rs
+++ b/crates/lab/src/trend.rs
@@ -1,6 +1,6 @@
 //! Tests whether a figure is flat over time: ordinary least squares on block means, with the 95 % confidence interval
-//! of the slope by Student's t distribution. Single samples vary with the trouble of the moment; the means of blocks
-//! that span a whole cycle don't.
+//! of the slope by Student's t distribution. Single samples vary with the fault that is active; the means of
+//! blocks that span a whole cycle don't.
 
 /// Slope of a fitted line, with its confidence interval.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -17,7 +17,7 @@
     pub block_count: usize,
 }
 
-/// Fewer blocks don't distinguish a trend from chance.
+/// With fewer blocks a trend can't be distinguished from chance.
 const MIN_BLOCKS: usize = 4;
 
 impl Trend {
@@ -28,9 +28,9 @@
         // By block: number of samples, sum of their times, sum of their values.
         let mut sums: Vec<(f64, f64, f64)> = Vec::new();
         for (at, value) in samples {
-            let number = ((at - start) / block_seconds.max(f64::MIN_POSITIVE)) as usize;
-            sums.resize(sums.len().max(number + 1), (0.0, 0.0, 0.0));
-            let sum = &mut sums[number];
+            let block = ((at - start) / block_seconds.max(f64::MIN_POSITIVE)) as usize;
+            sums.resize(sums.len().max(block + 1), (0.0, 0.0, 0.0));
+            let sum = &mut sums[block];
             *sum = (sum.0 + 1.0, sum.1 + at, sum.2 + value);
         }
         // Blocks with less than half the samples of the first one, such as a last one that was cut short, are left out:
@@ -39,24 +39,25 @@
         let blocks: Vec<_> = sums
             .iter()
             .filter(|s| s.0 >= samples_per_block / 2.0)
-            .map(|(n, at, value)| (at / n, value / n))
+            .map(|(count, time_sum, value_sum)| (time_sum / count, value_sum / count))
             .collect();
         if blocks.len() < MIN_BLOCKS {
             return None;
         }
-        let n = blocks.len() as f64;
-        let mean = |f: fn(&(f64, f64)) -> f64| blocks.iter().map(f).sum::<f64>() / n;
-        let (x, y) = (mean(|b| b.0), mean(|b| b.1));
-        let sxx: f64 = blocks.iter().map(|b| (b.0 - x).powi(2)).sum();
-        let sxy: f64 = blocks.iter().map(|b| (b.0 - x) * (b.1 - y)).sum();
+        let block_count = blocks.len() as f64;
+        let mean = |f: fn(&(f64, f64)) -> f64| blocks.iter().map(f).sum::<f64>() / block_count;
+        let (mean_time, mean_value) = (mean(|b| b.0), mean(|b| b.1));
+        let sxx: f64 = blocks.iter().map(|b| (b.0 - mean_time).powi(2)).sum();
+        let sxy: f64 = blocks.iter().map(|b| (b.0 - mean_time) * (b.1 - mean_value)).sum();
         let slope = sxy / sxx;
-        let squared_residuals: f64 = blocks.iter().map(|b| (b.1 - y - slope * (b.0 - x)).powi(2)).sum();
-        let standard_error = (squared_residuals / (n - 2.0) / sxx).sqrt();
+        let squared_residuals: f64 =
+            blocks.iter().map(|b| (b.1 - mean_value - slope * (b.0 - mean_time)).powi(2)).sum();
+        let standard_error = (squared_residuals / (block_count - 2.0) / sxx).sqrt();
         let max = samples.iter().map(|s| s.1).fold(f64::NEG_INFINITY, f64::max);
         Some(Trend {
             slope,
             slope_margin: student_t_quantile(blocks.len() - 2) * standard_error,
-            mean: y,
+            mean: mean_value,
             max,
             block_count: blocks.len(),
         })
--- a/crates/lab/src/world.rs
+++ b/crates/lab/src/world.rs
@@ -4,7 +4,7 @@
 use crate::checker::{Bounds, Checker, SharedChecker};
 use crate::discovery::{Discovery, Entry};
 use crate::load::{HitKind, Load, LoadPlan};
-use crate::misbehaving::{self, MisbehavingClients};
+use crate::misbehaving::{MisbehavingClients, Misbehavior};
 use crate::node::{FaultMode, Node, NodeBehavior};
 use crate::platform::{BuildStatus, Platform};
 use crate::program::Program;
@@ -14,19 +14,19 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// Number of the build that is released at the start.
+/// Number of the build that all nodes run at the start.
 pub const FIRST_BUILD: u16 = 4;
 
-/// A running site. Dropped, it stops everything.
+/// A running site; dropping it stops the marshal and all stand-ins.
 pub struct World {
     // Fields are dropped in this order: the marshal exits before the stand-ins do.
     pub program: Program,
     pub nodes: Vec<Node>,
     pub discovery: Discovery,
     pub platform: Platform,
-    pub books: SharedChecker,
-    pub groups: Vec<PathGroup>,
-    pub stage: Runtime,
+    pub checker: SharedChecker,
+    pub path_groups: Vec<PathGroup>,
+    pub runtime: Runtime,
     /// Number of nodes started so far; the next node's name is made from it.
     started_nodes: usize,
 }
@@ -34,79 +34,100 @@
 impl World {
     /// Starts a site with this number of nodes; `args` are added to the marshal's command line.
     pub fn start(
-        binary: &Path, nodes: usize, limits: Limits, manner: &NodeBehavior, args: &[&str],
+        binary: &Path, node_count: usize, limits: Limits, behavior: &NodeBehavior, args: &[&str],
     ) -> Result<Self, String> {
-        Self::start_with_config(binary, nodes, limits, manner, args, |_| ())
+        Self::start_with_config(binary, node_count, limits, behavior, args, |_| ())
     }
 
-    /// Like [`World::start`]; `change` edits the marshal's configuration before it starts.
+    /// Like [`World::start`]; `edit_config` edits the marshal's configuration before it starts.
     pub fn start_with_config(
-        binary: &Path, nodes: usize, limits: Limits, manner: &NodeBehavior, args: &[&str],
-        change: impl FnOnce(&mut Value),
+        binary: &Path, node_count: usize, limits: Limits, behavior: &NodeBehavior, args: &[&str],
+        edit_config: impl FnOnce(&mut Value),
     ) -> Result<Self, String> {
-        let (stage, groups) = (Runtime::default(), site::groups());
-        let books = SharedChecker::new(Checker::new(Bounds::default(), 0.1));
-        let discovery = Discovery::start(&stage, books.clone());
-        let platform = Platform::start(&stage, BuildStatus::live(FIRST_BUILD), books.clone());
-        let nodes: Vec<_> = (0..nodes)
-            .map(|n| Node::start(&stage, &format!("s-{n}"), n as u64, manner.clone(), books.clone()))
+        let (runtime, path_groups) = (Runtime::default(), site::path_groups());
+        let checker = SharedChecker::new(Checker::new(Bounds::default(), 0.1));
+        let discovery = Discovery::start(&runtime, checker.clone());
+        let platform = Platform::start(&runtime, BuildStatus::live(FIRST_BUILD), checker.clone());
+        let nodes: Vec<_> = (0..node_count)
+            .map(|n| Node::start(&runtime, &format!("s-{n}"), n as u64, behavior.clone(), checker.clone()))
             .collect();
         discovery.publish(nodes.iter().map(|n| Entry::up(&n.name, n.addr, FIRST_BUILD)));
-        let news = platform.build_status().to_json(0);
-        let mut config = site::config(limits, discovery.addr, platform.addr, &news, &discovery.full_list());
-        change(&mut config);
+        let build_status = platform.build_status().to_json(0);
+        let mut config =
+            site::config(limits, discovery.addr, platform.addr, &build_status, &discovery.full_list());
+        edit_config(&mut config);
         let program = Program::start(binary, &config, args)?;
         let started_nodes = nodes.len();
-        Ok(World { program, nodes, discovery, platform, books, groups, stage, started_nodes })
+        Ok(World { program, nodes, discovery, platform, checker, path_groups, runtime, started_nodes })
     }
 
-    /// Starts well-behaved clients; their results are in the returned value.
+    /// Starts well-behaved clients; the returned handle gives their results and stops them.
     pub fn start_load(&self, plan: LoadPlan) -> Load {
-        Load::start(&self.stage, self.books.clone(), self.groups.clone(), vec![self.program.addr], plan)
+        Load::start(
+            &self.runtime,
+            self.checker.clone(),
+            self.path_groups.clone(),
+            vec![self.program.addr],
+            plan,
+        )
     }
 
-    /// Starts misbehaving clients, which send hits of this path group with bodies of `body` bytes until the returned
-    /// value is dropped. Each hit states a wait of 1.5 s.
-    pub fn start_rogues(
-        &self, manner: misbehaving::Misbehavior, count: usize, group: usize, body: usize,
+    /// Starts misbehaving clients, which send hits of this path group with bodies of `body_bytes` until the returned
+    /// value is dropped. Their client timeout is 1.5 s.
+    pub fn start_misbehaving_clients(
+        &self, misbehavior: Misbehavior, count: usize, group: usize, body_bytes: usize,
     ) -> MisbehavingClients {
-        self.start_rogues_with_timeout(manner, count, group, body, Duration::from_millis(1_500))
+        self.start_misbehaving_clients_with_timeout(
+            misbehavior,
+            count,
+            group,
+            body_bytes,
+            Duration::from_millis(1_500),
+        )
     }
 
-    /// Like [`World::start_rogues`]; each hit states `timeout` as the time that its client waits for the answer.
-    pub fn start_rogues_with_timeout(
-        &self, manner: misbehaving::Misbehavior, count: usize, group: usize, body: usize, timeout: Duration,
+    /// Like [`World::start_misbehaving_clients`]; each hit states `client_timeout`, the time for
+    /// which its client waits for the answer.
+    pub fn start_misbehaving_clients_with_timeout(
+        &self, misbehavior: Misbehavior, count: usize, group: usize, body_bytes: usize,
+        client_timeout: Duration,
     ) -> MisbehavingClients {
-        let kind = HitKind { group, share: 1.0, body_bytes: body, client_timeout: timeout };
+        let kind = HitKind { group, share: 1.0, body_bytes, client_timeout };
         MisbehavingClients::start(
-            &self.stage,
-            &self.books,
-            manner,
+            &self.runtime,
+            &self.checker,
+            misbehavior,
             count,
             self.program.addr,
-            (&self.groups[group], &kind),
+            (&self.path_groups[group], &kind),
         )
     }
 
-    /// Sets how all nodes treat what they receive.
-    pub fn set_all_nodes_mode(&self, mode: FaultMode) {
+    /// Sets the fault mode of all nodes.
+    pub fn set_fault_mode_of_all_nodes(&self, mode: FaultMode) {
         self.nodes.iter().for_each(|node| node.set_fault_mode(mode));
     }
 
-    /// Starts `count` nodes of a build, cold, and lists them in discovery; returns their names.
-    pub fn add_nodes(&mut self, count: usize, build: u16, manner: &NodeBehavior) -> Vec<String> {
-        let since_epoch = self.stage.clock.now() - stonescale::state::EPOCH;
+    /// Starts `count` cold nodes of a build and lists them in discovery; returns their names.
+    pub fn add_nodes(&mut self, count: usize, build: u16, behavior: &NodeBehavior) -> Vec<String> {
+        let since_epoch = self.runtime.clock.now() - stonescale::state::EPOCH;
         let started_ms = since_epoch.as_nanos() / 1_000_000;
-        let first = self.started_nodes;
+        let first_number = self.started_nodes;
         self.started_nodes += count;
-        let commands_per_second = manner.cores as f64 / manner.work_median.as_secs_f64().max(1e-6);
-        let added: Vec<_> = (first..self.started_nodes)
+        let commands_per_second = behavior.cores as f64 / behavior.work_median.as_secs_f64().max(1e-6);
+        let added: Vec<_> = (first_number..self.started_nodes)
             .map(|n| {
-                Node::start(&self.stage, &format!("s-{n}"), n as u64, manner.clone(), self.books.clone())
+                Node::start(
+                    &self.runtime,
+                    &format!("s-{n}"),
+                    n as u64,
+                    behavior.clone(),
+                    self.checker.clone(),
+                )
             })
             .collect();
-        let now = self.stage.clock.now();
-        added.iter().for_each(|n| self.books.lock().node_started(&n.name, commands_per_second, now));
+        let now = self.runtime.clock.now();
+        added.iter().for_each(|n| self.checker.lock().node_started(&n.name, commands_per_second, now));
         self.discovery
             .publish(added.iter().map(|n| Entry { started_ms, ..Entry::up(&n.name, n.addr, build) }));
         let names = added.iter().map(|n| n.name.clone()).collect();
@@ -114,7 +135,7 @@
         names
     }
 
-    /// Lists the named nodes in another state. Nodes in the state `removed` are stopped and dropped.
+    /// Changes the state of the named nodes in discovery. Nodes in the state `removed` are also stopped and dropped.
     pub fn set_node_state(&mut self, names: &[String], state: &str) {
         self.discovery.update(names, |entry| entry.state = state.into());
         if state == "removed" {
@@ -123,10 +144,10 @@
         }
     }
 
-    /// Samples the marshal's resident size every 10 ms until `done` returns true; returns the maximum in bytes.
-    pub fn max_resident_bytes_until(&self, mut done: impl FnMut() -> bool) -> usize {
+    /// Samples the marshal's resident size every 10 ms until `is_done` returns true; returns the maximum in bytes.
+    pub fn max_resident_bytes_until(&self, mut is_done: impl FnMut() -> bool) -> usize {
         let mut max_bytes = 0;
-        while !done() {
+        while !is_done() {
             max_bytes = max_bytes.max(self.program.usage().map_or(0, |usage| usage.resident_bytes));
             std::thread::sleep(Duration::from_millis(10));
         }
--- a/crates/lab/tests/books.rs
+++ b/crates/lab/tests/evaluation.rs
@@ -7,7 +7,7 @@
 use stonescale::settings::{DedupScope, Effect};
 use stonescale::time::{Span, Time};
 use stonescale_lab::checker::{Bounds, Checker, Outcome, Request};
-use stonescale_lab::faults::{ALL, FaultSchedule};
+use stonescale_lab::faults::{ALL_FAULTS, FaultSchedule};
 use stonescale_lab::release::{Action, Release, ReleasePlan};
 use stonescale_lab::soak::Scenario;
 use stonescale_lab::trend::Trend;
@@ -17,52 +17,52 @@
     Time::at((1_000_000 + ms) * 1_000_000)
 }
 
-fn asked(effect: Effect) -> Request {
+fn request(effect: Effect) -> Request {
     Request { group: 0, effect, idempotency_key: None, client_timeout: Span::millis(500) }
 }
 
 /// A checker that knows the released build 4 on node `old`, build 5 in testing with a cap of 0.1 on node `new`, and a
 /// hit `h` that a client sent at time zero.
-fn books(effect: Effect) -> Checker {
-    let mut books = Checker::new(Bounds::default(), 0.1);
-    books.build_reported(4, false, 1.0, at(0));
-    books.node_reported("old", 4, false, at(0));
-    books.node_reported("new", 5, false, at(0));
-    books.build_reported(5, true, 0.1, at(0));
-    books.hit_sent("h", asked(effect), at(0));
-    books
+fn checker(effect: Effect) -> Checker {
+    let mut checker = Checker::new(Bounds::default(), 0.1);
+    checker.build_reported(4, false, 1.0, at(0));
+    checker.node_reported("old", 4, false, at(0));
+    checker.node_reported("new", 5, false, at(0));
+    checker.build_reported(5, true, 0.1, at(0));
+    checker.hit_sent("h", request(effect), at(0));
+    checker
 }
 
-const READ: Effect = Effect::Repeatable;
-const BOOK: Effect = Effect::Mutating;
+const REPEATABLE: Effect = Effect::Repeatable;
+const MUTATING: Effect = Effect::Mutating;
 const TAGGED: Effect = Effect::Tagged { scope: DedupScope::All, dedup_window: Span::millis(1_000) };
 
 /// Records what happens in a case.
 type Record = fn(&mut Checker);
 
 /// Records four forwards to a node, one per millisecond from `from_ms` on.
-fn forward_four(books: &mut Checker, node: &str, from_ms: u64) {
-    (0..4).for_each(|n| books.forward_received(node, &n.to_string(), at(from_ms + n)));
+fn forward_four(checker: &mut Checker, node: &str, from_ms: u64) {
+    (0..4).for_each(|n| checker.forward_received(node, &n.to_string(), at(from_ms + n)));
 }
 
 #[rstest]
-#[case::answered_twice(1, READ, |b: &mut Checker| {
+#[case::answered_twice(1, REPEATABLE, |b: &mut Checker| {
     b.hit_answered("h", Outcome::Delivered, at(10));
     b.hit_answered("h", Outcome::Delivered, at(11));
 })]
-#[case::answered_late(1, READ, |b: &mut Checker| b.hit_answered("h", Outcome::Errored, at(560)))]
-#[case::never_answered(1, READ, |b: &mut Checker| b.client_left("h", true, at(900)))]
-#[case::value_of_another_hit(1, READ, |b: &mut Checker| b.hit_answered("h", Outcome::WrongValue, at(10)))]
-#[case::forwarded_after_its_answer(1, READ, |b: &mut Checker| {
+#[case::answered_late(1, REPEATABLE, |b: &mut Checker| b.hit_answered("h", Outcome::Errored, at(560)))]
+#[case::never_answered(1, REPEATABLE, |b: &mut Checker| b.client_left("h", true, at(900)))]
+#[case::value_of_another_hit(1, REPEATABLE, |b: &mut Checker| b.hit_answered("h", Outcome::WrongValue, at(10)))]
+#[case::forwarded_after_its_answer(1, REPEATABLE, |b: &mut Checker| {
     b.hit_answered("h", Outcome::Bounced, at(10));
     b.forward_received("old", "h", at(70));
 })]
-#[case::forwarded_after_its_deadline(1, READ, |b: &mut Checker| b.forward_received("old", "h", at(551)))]
-#[case::mutating_hit_forwarded_again(2, BOOK, |b: &mut Checker| {
+#[case::forwarded_after_its_deadline(1, REPEATABLE, |b: &mut Checker| b.forward_received("old", "h", at(551)))]
+#[case::mutating_hit_forwarded_again(2, MUTATING, |b: &mut Checker| {
     b.forward_received("old", "h", at(1));
     b.forward_received("old", "h", at(2));
 })]
-#[case::mutating_hit_bounced_after_a_forward(2, BOOK, |b: &mut Checker| {
+#[case::mutating_hit_bounced_after_a_forward(2, MUTATING, |b: &mut Checker| {
     b.forward_received("old", "h", at(1));
     b.hit_answered("h", Outcome::Bounced, at(20));
 })]
@@ -70,69 +70,69 @@
     b.command_executed("old", "h", at(1));
     b.command_executed("old", "h", at(2));
 })]
-#[case::forwarded_to_a_draining_node(3, READ, |b: &mut Checker| {
+#[case::forwarded_to_a_draining_node(3, REPEATABLE, |b: &mut Checker| {
     b.node_reported("old", 4, true, at(10));
-    b.hit_sent("late", asked(READ), at(1_070));
+    b.hit_sent("late", request(REPEATABLE), at(1_070));
     b.forward_received("old", "late", at(1_071));
 })]
-#[case::cold_node_overloaded(4, READ, |b: &mut Checker| {
+#[case::cold_node_overloaded(4, REPEATABLE, |b: &mut Checker| {
     b.node_started("old", 20.0, at(0));
     // Warm after 1 s, the node can do 20 commands per second: 50 per second are over twice that all the time.
     (0..200).for_each(|n| b.forward_received("old", &n.to_string(), at(n * 20)));
 })]
-#[case::over_the_cap(5, READ, |b: &mut Checker| forward_four(b, "new", 1))]
-#[case::over_a_lowered_cap(5, READ, |b: &mut Checker| {
+#[case::over_the_cap(5, REPEATABLE, |b: &mut Checker| forward_four(b, "new", 1))]
+#[case::over_a_lowered_cap(5, REPEATABLE, |b: &mut Checker| {
     b.build_reported(5, true, 1.0, at(1));
     b.build_reported(5, true, 0.0, at(2));
     forward_four(b, "new", 3_000);
 })]
-#[case::over_the_first_cap_of_an_unannounced_build(5, READ, |b: &mut Checker| {
+#[case::over_the_first_cap_of_an_unannounced_build(5, REPEATABLE, |b: &mut Checker| {
     b.node_reported("newer", 6, false, at(0));
     forward_four(b, "newer", 1);
 })]
 fn violation_is_reported_under_its_rule(#[case] rule: u8, #[case] effect: Effect, #[case] record: Record) {
-    let mut books = books(effect);
-    record(&mut books);
-    let rules: Vec<_> = books.violations.iter().map(|v| v.rule).collect();
-    assert!(!rules.is_empty() && rules.iter().all(|r| *r == rule), "{:?}", books.violations);
+    let mut checker = checker(effect);
+    record(&mut checker);
+    let rules: Vec<_> = checker.violations.iter().map(|v| v.rule).collect();
+    assert!(!rules.is_empty() && rules.iter().all(|r| *r == rule), "{:?}", checker.violations);
 }
 
 #[rstest]
-#[case::hit_delivered(BOOK, |b: &mut Checker| {
+#[case::hit_delivered(MUTATING, |b: &mut Checker| {
     b.forward_received("old", "h", at(1));
     b.command_executed("old", "h", at(2));
     b.hit_answered("h", Outcome::Delivered, at(3));
 })]
-#[case::refused_by_a_node_and_forwarded_again(BOOK, |b: &mut Checker| {
+#[case::refused_by_a_node_and_forwarded_again(MUTATING, |b: &mut Checker| {
     b.forward_received("old", "h", at(1));
     b.forward_rejected("h");
     b.forward_received("old", "h", at(2));
     b.hit_answered("h", Outcome::Delivered, at(3));
 })]
-#[case::bounced_without_a_forward(BOOK, |b: &mut Checker| b.hit_answered("h", Outcome::Bounced, at(3)))]
-#[case::forwarded_within_the_drain_grace(READ, |b: &mut Checker| {
+#[case::bounced_without_a_forward(MUTATING, |b: &mut Checker| b.hit_answered("h", Outcome::Bounced, at(3)))]
+#[case::forwarded_within_the_drain_grace(REPEATABLE, |b: &mut Checker| {
     b.node_reported("old", 4, true, at(0));
     b.forward_received("old", "h", at(400));
 })]
-#[case::cold_node_at_its_capacity(READ, |b: &mut Checker| {
+#[case::cold_node_at_its_capacity(REPEATABLE, |b: &mut Checker| {
     b.node_started("old", 20.0, at(0));
     (0..200).for_each(|n| b.forward_received("old", &n.to_string(), at(n * 50)));
 })]
-#[case::cold_node_overloaded_for_two_seconds(READ, |b: &mut Checker| {
+#[case::cold_node_overloaded_for_two_seconds(REPEATABLE, |b: &mut Checker| {
     b.node_started("old", 20.0, at(0));
     (0..100).for_each(|n| b.forward_received("old", &n.to_string(), at(n * 20)));
     (0..40).for_each(|n| b.forward_received("old", &n.to_string(), at(2_200 + n * 100)));
 })]
-#[case::warm_node_overloaded(READ, |b: &mut Checker| {
+#[case::warm_node_overloaded(REPEATABLE, |b: &mut Checker| {
     b.node_started("old", 20.0, at(0));
     (0..200).for_each(|n| b.forward_received("old", &n.to_string(), at(1_500 + n * 20)));
 })]
-#[case::within_the_allowance(READ, |b: &mut Checker| (0..3).for_each(|n| b.forward_received("new", &n.to_string(), at(n))))]
-#[case::client_that_disconnected(READ, |b: &mut Checker| b.client_left("h", false, at(100)))]
+#[case::within_the_allowance(REPEATABLE, |b: &mut Checker| (0..3).for_each(|n| b.forward_received("new", &n.to_string(), at(n))))]
+#[case::client_that_disconnected(REPEATABLE, |b: &mut Checker| b.client_left("h", false, at(100)))]
 fn permitted_behaviour_is_not_reported(#[case] effect: Effect, #[case] record: Record) {
-    let mut books = books(effect);
-    record(&mut books);
-    assert_eq!(books.violations, []);
+    let mut checker = checker(effect);
+    record(&mut checker);
+    assert_eq!(checker.violations, []);
 }
 
 proptest! {
@@ -155,57 +155,57 @@
     assert_eq!(Trend::fit(&[(0.0, 1.0), (1.0, 2.0), (2.0, 3.0)], 1.0), None);
 }
 
-/// Runs a release over ten nodes in steps of 50 ms; from `stop_from_ms` on a vote to stop it is in force.
+/// Runs a release over ten nodes in actions of 50 ms; from `stop_from_ms` on a vote to stop it is in force.
 fn run_release(stop_from_ms: Option<u64>) -> (Release, Vec<Action>) {
     let (start, stage) = (Duration::from_millis(100), Duration::from_millis(500));
-    let course = ReleasePlan {
-        nodes: 10,
+    let plan = ReleasePlan {
+        node_count: 10,
         stage_shares: vec![0.1, 0.35, 1.0],
-        node_start: start,
+        node_start_duration: start,
         stage_duration: stage,
     };
-    let mut release = Release::new(course, Duration::ZERO);
-    let mut steps = Vec::new();
+    let mut release = Release::new(plan, Duration::ZERO);
+    let mut actions = Vec::new();
     for ms in (0..5_000).step_by(50) {
-        steps.extend(release.poll(
+        actions.extend(release.poll(
             Duration::from_millis(ms),
             stop_from_ms.is_some_and(|from| ms >= from),
             false,
         ));
     }
-    (release, steps)
+    (release, actions)
 }
 
 #[test]
 fn release_passes_its_stages_and_replaces_every_node() {
-    let (release, steps) = run_release(None);
-    let sum = |f: fn(&Action) -> usize| steps.iter().map(f).sum::<usize>();
+    let (release, actions) = run_release(None);
+    let sum = |f: fn(&Action) -> usize| actions.iter().map(f).sum::<usize>();
     assert_eq!(release.outcome(), Some(true));
     assert_eq!(sum(|s| if let Action::StartNodes(n) = s { *n } else { 0 }), 10);
     assert_eq!(sum(|s| if let Action::DrainNodes(n) = s { *n } else { 0 }), 10);
     assert!(
-        steps.contains(&Action::Announce(1, "testing", 0.35))
-            && steps.ends_with(&[Action::Announce(2, "live", 1.0)])
+        actions.contains(&Action::Announce(1, "testing", 0.35))
+            && actions.ends_with(&[Action::Announce(2, "live", 1.0)])
     );
 }
 
 #[test]
 fn stop_vote_restarts_as_many_old_nodes_as_were_drained() {
-    let (release, steps) = run_release(Some(900));
+    let (release, actions) = run_release(Some(900));
     assert_eq!(release.outcome(), Some(false));
-    assert!(steps.contains(&Action::RollBack(4)), "{steps:?}");
+    assert!(actions.contains(&Action::RollBack(4)), "{actions:?}");
 }
 
 #[test]
 fn schedule_repeats_for_a_seed_and_has_each_trouble_once_per_cycle() {
     let troubles = |seed| {
-        let schedule = FaultSchedule::generate(&ALL, 2, Duration::from_secs(1), seed);
+        let schedule = FaultSchedule::generate(&ALL_FAULTS, 2, Duration::from_secs(1), seed);
         let at = |s: u64| schedule.phase_at(Duration::from_millis(s * 1_000 + 100)).map(|p| p.1);
-        (0..=2 * ALL.len() as u64).map(at).collect::<Vec<_>>()
+        (0..=2 * ALL_FAULTS.len() as u64).map(at).collect::<Vec<_>>()
     };
     let of_seed_7 = troubles(7);
     assert!(of_seed_7 == troubles(7) && of_seed_7 != troubles(8) && of_seed_7.last() == Some(&None));
-    assert!(ALL.iter().all(|kind| of_seed_7.iter().filter(|k| **k == Some(*kind)).count() == 2));
+    assert!(ALL_FAULTS.iter().all(|kind| of_seed_7.iter().filter(|k| **k == Some(*kind)).count() == 2));
 }
 
 #[rstest]
--- a/crates/lab/tests/node.rs
+++ b/crates/lab/tests/node.rs
@@ -8,8 +8,8 @@
 #[test]
 fn command_after_an_unanswered_one_gets_no_answer() {
     use std::io::{Read, Write};
-    let (stage, books) = (Runtime::default(), SharedChecker::new(Checker::new(Bounds::default(), 0.1)));
-    let node = Node::start(&stage, "s-0", 0, NodeBehavior::default(), books);
+    let (runtime, checker) = (Runtime::default(), SharedChecker::new(Checker::new(Bounds::default(), 0.1)));
+    let node = Node::start(&runtime, "s-0", 0, NodeBehavior::default(), checker);
     node.script([ScriptedReply::NoReply]);
     let mut stream = std::net::TcpStream::connect(node.addr).unwrap();
     let command = |id: &[u8]| wire::encode_command(&[b"SVC.QUERY", b"7f3a", id, b"c=read,t=acme,d=900"]);
--- a/crates/marshal/tests/memory.rs
+++ b/crates/marshal/tests/memory.rs
@@ -12,7 +12,7 @@
 use stonescale_lab::node::{FaultMode, NodeBehavior, ScriptedReply};
 use stonescale_lab::program::unique_temp_path;
 use stonescale_lab::runtime::wait_until;
-use stonescale_lab::site::{Limits, PUSH, READ};
+use stonescale_lab::site::{Limits, REPEATABLE, TAGGED};
 use stonescale_lab::wire;
 
 const MIB: usize = 1 << 20;
@@ -64,7 +64,7 @@
     let (start, mut reached, mut sample) = (Instant::now(), false, String::new());
     load.take_stats();
     let peak = world.max_resident_bytes_until(|| {
-        let read = load.stats().swap_remove(READ);
+        let read = load.stats().swap_remove(REPEATABLE);
         let ended = read.delivered + read.bounced + read.errored + read.unanswered;
         if ended >= SAMPLE_READS {
             reached = read.delivered as f64 > min_share * ended as f64;
@@ -81,8 +81,8 @@
 
 /// Ends the nodes' fault; well-behaved clients are served as before soon afterwards.
 fn assert_recovered(world: &World) {
-    world.set_all_nodes_mode(FaultMode::Healthy);
-    let reads = world.start_load(LoadPlan::reads(100.0, 9));
+    world.set_fault_mode_of_all_nodes(FaultMode::Healthy);
+    let reads = world.start_load(LoadPlan::repeatable(100.0, 9));
     assert_served(world, &reads, 0.95, Duration::ZERO);
 }
 
@@ -91,13 +91,13 @@
 #[test]
 fn a_flood_is_limited_by_its_cap_and_service_recovers_after_it() {
     let world = world(32, 1024);
-    world.set_all_nodes_mode(FaultMode::Silent);
-    let flood = world.start_rogues(Misbehavior::Flood, 450, PUSH, 60_000);
+    world.set_fault_mode_of_all_nodes(FaultMode::Silent);
+    let flood = world.start_misbehaving_clients(Misbehavior::Flood, 450, TAGGED, 60_000);
     let peak = peak_resident_during(&world, FAULT_DURATION);
     drop(flood);
     assert!(peak < 32 * MIB, "resident {peak}");
     assert_recovered(&world);
-    assert_eq!(world.books.violation_report(), "");
+    assert_eq!(world.checker.violation_report(), "");
 }
 
 #[test]
@@ -105,22 +105,22 @@
     // Half of the nodes are silent, so that the flood's hits stay in flight for long and fill their purpose.
     let world = world(8, 1024);
     world.nodes[..2].iter().for_each(|n| n.set_fault_mode(FaultMode::Silent));
-    let flood = world.start_rogues(Misbehavior::Flood, 150, PUSH, 40_000);
+    let flood = world.start_misbehaving_clients(Misbehavior::Flood, 150, TAGGED, 40_000);
     std::thread::sleep(Duration::from_millis(1_000));
-    let reads = world.start_load(LoadPlan::reads(100.0, 3));
+    let reads = world.start_load(LoadPlan::repeatable(100.0, 3));
     let peak = assert_served(&world, &reads, 0.9, FAULT_DURATION);
     drop(flood);
     assert!(peak < 8 * MIB, "resident {peak}");
     assert_recovered(&world);
-    assert_eq!(world.books.violation_report(), "");
+    assert_eq!(world.checker.violation_report(), "");
 }
 
 #[test]
 fn other_clients_are_served_while_a_flood_holds_every_connection() {
     let world = world(32, 256);
-    let flood = world.start_rogues(Misbehavior::Flood, 200, PUSH, 40_000);
+    let flood = world.start_misbehaving_clients(Misbehavior::Flood, 200, TAGGED, 40_000);
     std::thread::sleep(Duration::from_millis(1_500));
-    let reads = world.start_load(LoadPlan::reads(50.0, 3));
+    let reads = world.start_load(LoadPlan::repeatable(50.0, 3));
     assert_served(&world, &reads, 0.5, FAULT_DURATION);
     drop(flood);
     assert_recovered(&world);
@@ -132,7 +132,7 @@
 fn clients_that_never_read_are_disconnected_before_memory_runs_out() {
     let world = world(8, 1024);
     world.nodes.iter().for_each(|n| n.update_behavior(|behavior| behavior.value_bytes = 60_000));
-    let never_reading = world.start_rogues(Misbehavior::NeverReads, 150, READ, 0);
+    let never_reading = world.start_misbehaving_clients(Misbehavior::NeverReads, 150, REPEATABLE, 0);
     let peak = peak_resident_during(&world, FAULT_DURATION);
     drop(never_reading);
     assert!(peak < 8 * MIB, "resident {peak}");
@@ -142,14 +142,14 @@
 #[test]
 fn incomplete_commands_leave_room_for_complete_ones() {
     let world = world(8, 1024);
-    let incomplete = world.start_rogues(Misbehavior::HalfCommand, 400, PUSH, 65_000);
+    let incomplete = world.start_misbehaving_clients(Misbehavior::IncompleteCommand, 400, TAGGED, 65_000);
     std::thread::sleep(Duration::from_millis(500));
-    let reads = world.start_load(LoadPlan::reads(100.0, 3));
+    let reads = world.start_load(LoadPlan::repeatable(100.0, 3));
     let peak = assert_served(&world, &reads, 0.9, FAULT_DURATION);
     drop(incomplete);
     assert!(peak < 8 * MIB, "resident {peak}");
     assert_recovered(&world);
-    assert_eq!(world.books.violation_report(), "");
+    assert_eq!(world.checker.violation_report(), "");
 }
 
 #[test]
@@ -157,8 +157,8 @@
     let world = exclusive_world(128, Limits { memory_mb: 8, sockets: 1024 }, &[]);
     world.nodes.iter().for_each(|n| n.update_behavior(|behavior| behavior.value_bytes = 65_000));
     // No value can be forwarded, as each lacks its last byte; together they exceed the memory limit of the process.
-    world.set_all_nodes_mode(FaultMode::WithholdingLastByte);
-    let idle_clients = world.start_rogues(Misbehavior::StaysIdle, 500, READ, 0);
+    world.set_fault_mode_of_all_nodes(FaultMode::WithholdingLastByte);
+    let idle_clients = world.start_misbehaving_clients(Misbehavior::StaysIdle, 500, REPEATABLE, 0);
     let hits_arrived = || world.nodes.iter().map(|n| n.commands_received()).sum::<u64>() > 200;
     assert!(wait_until(TEST_TIMEOUT, hits_arrived), "hits reach the nodes");
     peak_resident_during(&world, FAULT_DURATION / 10);
@@ -174,20 +174,26 @@
 fn unread_output_for_one_node_does_not_affect_the_others() {
     let world = world(8, 256);
     world.nodes[0].set_fault_mode(FaultMode::NotReading);
-    let flood = world.start_rogues(Misbehavior::Flood, 40, PUSH, 40_000);
-    let reads = world.start_load(LoadPlan::reads(100.0, 3));
+    let flood = world.start_misbehaving_clients(Misbehavior::Flood, 40, TAGGED, 40_000);
+    let reads = world.start_load(LoadPlan::repeatable(100.0, 3));
     std::thread::sleep(Duration::from_millis(500));
     let peak = assert_served(&world, &reads, 0.9, FAULT_DURATION);
     drop(flood);
     assert!(peak < 8 * MIB, "resident {peak}");
     assert_recovered(&world);
-    assert_eq!(world.books.violation_report(), "");
+    assert_eq!(world.checker.violation_report(), "");
 }
 
 #[test]
 fn answered_hits_with_long_deadlines_leave_no_memory_behind() {
     let world = world(8, 256);
-    let flood = world.start_rogues_with_timeout(Misbehavior::Flood, 40, READ, 0, Duration::from_secs(600));
+    let flood = world.start_misbehaving_clients_with_timeout(
+        Misbehavior::Flood,
+        40,
+        REPEATABLE,
+        0,
+        Duration::from_secs(600),
+    );
     std::thread::sleep(Duration::from_millis(500));
     let before = world.program.usage().unwrap().resident_bytes;
     let answered = || flood.answered.load(std::sync::atomic::Ordering::Relaxed);
@@ -207,19 +213,19 @@
 #[test]
 fn a_list_of_ten_thousand_nodes_is_taken_up_to_the_cap_and_hits_are_still_served() {
     let world = world(32, 256);
-    let reads = world.start_load(LoadPlan::reads(100.0, 3));
+    let reads = world.start_load(LoadPlan::repeatable(100.0, 3));
     world.discovery.publish(unreachable_nodes(0..10_000, "draining"));
     let line = world.program.wait_for_log_line("are left out", TEST_TIMEOUT).unwrap();
     assert!(line.contains("nodes of the list"), "{line}");
     let peak = assert_served(&world, &reads, 0.95, FAULT_DURATION / 2);
     assert!(peak < 32 * MIB, "resident {peak}");
-    assert_eq!(world.books.violation_report(), "");
+    assert_eq!(world.checker.violation_report(), "");
 }
 
 #[test]
 fn an_endless_line_and_ever_new_lists_do_not_grow_memory() {
     let world = world(8, 256);
-    let reads = world.start_load(LoadPlan::reads(100.0, 3));
+    let reads = world.start_load(LoadPlan::repeatable(100.0, 3));
     // A node's index is free again only some seconds after the node is gone, so the lists bring no more than a few
     // hundred ids a second.
     let round = |number: usize| {
@@ -271,7 +277,7 @@
 #[test]
 fn a_level_change_is_logged_and_reverts_once_the_pressure_ends() {
     let (world, _path) = world_with("[memory.halves]\ncap = 8%\n");
-    let incomplete = world.start_rogues(Misbehavior::HalfCommand, 40, PUSH, 65_000);
+    let incomplete = world.start_misbehaving_clients(Misbehavior::IncompleteCommand, 40, TAGGED, 65_000);
     let line = world.program.wait_for_log_line("memory level", TEST_TIMEOUT).unwrap();
     assert!(line.contains("purpose=\"halves\"") && line.contains("from=\"easy\""), "{line}");
     drop(incomplete);
@@ -292,7 +298,7 @@
 fn idle_clients_are_closed_before_connections_run_out() {
     // At most 144 connections are accepted; a silent one is closed anyway after 2.5 s.
     let (world, _path) = world_with(FREQUENT_REPORTS);
-    let _silent_clients = world.start_rogues(Misbehavior::Mute, 120, READ, 0);
+    let _silent_clients = world.start_misbehaving_clients(Misbehavior::SendsNothing, 120, REPEATABLE, 0);
     assert_reclaims(&world, "clients");
 }
 
