--- a/crates/lab/src/discovery.rs
+++ b/crates/lab/src/discovery.rs
@@ -47,9 +47,9 @@
     /// Entries by id, each with the version in which it changed last.
     entries: BTreeMap<String, (u64, Entry)>,
     watches: Vec<Sender<String>>,
-    /// Watches end at once, and requests fail.
+    /// While set, watches end at once, and requests fail.
     down: bool,
-    /// Requests are accepted, but only changes published afterwards are sent.
+    /// While set, requests are accepted, but only changes published afterwards are sent.
     silent: bool,
 }
 
@@ -97,22 +97,22 @@
 
     /// Changes entries that are already listed, by id.
     pub fn update(&self, ids: &[String], change: impl Fn(&mut Entry)) {
-        let known: Vec<Entry> =
+        let listed: Vec<Entry> =
             self.lock().entries.values().map(|(_, e)| e).filter(|e| ids.contains(&e.id)).cloned().collect();
-        self.publish(known.into_iter().map(|mut entry| {
+        self.publish(listed.into_iter().map(|mut entry| {
             change(&mut entry);
             entry
         }));
     }
 
-    /// Tells the checker which states the marshal is given.
+    /// Passes the states that the marshal receives on to the checker.
     fn inform_checker(&self, entries: &[Entry]) {
         let now = self.clock.now();
         let mut checker = self.checker.lock();
         entries.iter().for_each(|e| checker.node_reported(&e.id, e.build, e.state != "up", now));
     }
 
-    /// Sends a line unchanged to all watches, or ends them if there is none.
+    /// Sends a line unchanged to all watches; `None` ends them.
     pub fn send_raw(&self, line: Option<String>) {
         let mut inner = self.lock();
         match line {
@@ -137,7 +137,7 @@
 
     /// Number of open watches.
     pub fn watch_count(&self) -> usize {
-        self.lock().watches.iter().filter(|w| !w.is_closed()).count()
+        self.lock().watches.iter().filter(|watch| !watch.is_closed()).count()
     }
 
     /// The full list.
@@ -145,12 +145,14 @@
         self.list_since(None)
     }
 
-    /// Entries changed after a version, or the full list if there is none or it is unknown.
+    /// Entries changed after the version `since`, or the full list if it is none or later than the current version.
     fn list_since(&self, since: Option<u64>) -> Value {
         let inner = self.lock();
         let full = since.is_none_or(|since| since > inner.version);
-        let selected = |(at, e): &&(u64, Entry)| if full { e.state != "removed" } else { Some(*at) > since };
-        let servers: Vec<_> = inner.entries.values().filter(selected).map(|(_, e)| e.to_json()).collect();
+        let is_selected = |(changed_in, e): &&(u64, Entry)| {
+            if full { e.state != "removed" } else { Some(*changed_in) > since }
+        };
+        let servers: Vec<_> = inner.entries.values().filter(is_selected).map(|(_, e)| e.to_json()).collect();
         json!({"version": inner.version, "full": full, "servers": servers})
     }
 
@@ -186,10 +188,10 @@
         }
         let since = path.split("since=").nth(1).and_then(|v| v.split('&').next()?.parse().ok());
         let (line_sender, lines) = async_channel::bounded(4096);
-        let first = self.list_since(since);
+        let initial_list = self.list_since(since);
         self.lock().watches.push(line_sender);
         if !self.lock().silent {
-            stream.write_all(&chunk(&first.to_string())).await?;
+            stream.write_all(&chunk(&initial_list.to_string())).await?;
         }
         loop {
             let next = async { Some(lines.recv().await) };
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -3,8 +3,8 @@
 //! - [`runtime`]: the thread on which all stand-ins run, and their clock.
 //! - [`node`], [`discovery`], [`platform`]: stand-ins for the other parties, written from the operators' protocol
 //!   page.
-//! - [`load`]: well-behaved clients that send hits in an open loop; [`misbehaving`]: clients that violate the protocol or
-//!   flood the marshal.
+//! - [`load`]: well-behaved clients that send hits in an open loop; [`misbehaving`]: clients that violate the protocol
+//!   or flood the marshal.
 //! - [`wire`]: RESP messages of the stand-ins.
 //! - [`site`]: settings and configuration of a small site; [`program`]: a marshal as a child process, observed from
 //!   outside.
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -20,9 +20,10 @@
 use stonescale::settings::Effect;
 use stonescale::time::Span;
 
-/// A kind of hit, and its share of the traffic.
+/// A kind of hit, and its weight among the kinds of a load.
 #[derive(Clone, Debug)]
 pub struct HitKind {
+    /// Index of its path group.
     pub group: usize,
     pub share: f64,
     /// Size of the body, for hits that have one.
@@ -30,37 +31,36 @@
     pub client_timeout: Duration,
 }
 
-#[derive(Clone, Debug)]
 /// Parameters of a load.
+#[derive(Clone, Debug)]
 pub struct LoadPlan {
-    /// Hits a second.
-    pub rate: f64,
+    pub hits_per_second: f64,
     pub kinds: Vec<HitKind>,
-    /// Most connections; with all of them in use, a hit waits for one.
+    /// Maximum number of connections; while all are in use, further hits wait for one.
     pub max_connections: usize,
-    /// Most tries of a hit that is bounced.
+    /// Maximum number of tries of a hit that is bounced.
     pub max_tries: u32,
     pub seed: u64,
 }
 
 impl LoadPlan {
-    /// Only reads, at this rate in hits a second.
-    pub fn repeatable(rate: f64, seed: u64) -> Self {
+    /// Only hits of the repeatable path group.
+    pub fn repeatable(hits_per_second: f64, seed: u64) -> Self {
         let kind = HitKind {
             group: crate::site::REPEATABLE,
             share: 1.0,
             body_bytes: 0,
             client_timeout: Duration::from_millis(900),
         };
-        LoadPlan { rate, kinds: vec![kind], max_connections: 64, max_tries: 3, seed }
+        LoadPlan { hits_per_second, kinds: vec![kind], max_connections: 64, max_tries: 3, seed }
     }
 
-    /// All path groups: 70 % reads, 20 % pushes, 10 % bookings.
-    pub fn mixed(rate: f64, seed: u64) -> Self {
+    /// Hits of all path groups: 70 % repeatable, 20 % tagged, 10 % mutating.
+    pub fn mixed(hits_per_second: f64, seed: u64) -> Self {
         let client_timeout = Duration::from_millis(900);
         let kind = |group, share, body_bytes| HitKind { group, share, body_bytes, client_timeout };
         let kinds = vec![kind(0, 0.7, 0), kind(1, 0.2, 200), kind(2, 0.1, 200)];
-        LoadPlan { kinds, ..LoadPlan::repeatable(rate, seed) }
+        LoadPlan { kinds, ..LoadPlan::repeatable(hits_per_second, seed) }
     }
 }
 
@@ -110,15 +110,17 @@
     groups: Vec<PathGroup>,
     addrs: Vec<SocketAddr>,
     plan: LoadPlan,
-    idle: Mutex<Vec<(usize, Connection)>>,
+    /// Idle connections, each with the index of its marshal.
+    idle_connections: Mutex<Vec<(usize, Connection)>>,
     open_connections: Arc<AtomicU64>,
-    ids: AtomicU64,
+    /// Number of tries so far, from which their ids are made.
+    id_sequence: AtomicU64,
     stats: Mutex<Vec<GroupStats>>,
     in_flight: AtomicU64,
     stopping: AtomicBool,
 }
 
-/// A connection that counts against the limit of the load.
+/// A connection that counts towards the load's maximum.
 struct Connection {
     stream: Stream,
     messages: MessageReader,
@@ -159,18 +161,18 @@
             groups,
             addrs,
             plan,
-            idle: Mutex::default(),
+            idle_connections: Mutex::default(),
             open_connections: Arc::default(),
-            ids: AtomicU64::new(0),
+            id_sequence: AtomicU64::new(0),
             stats,
             in_flight: AtomicU64::new(0),
             stopping: AtomicBool::new(false),
         }));
-        runtime.spawn(load.clone().arrivals(runtime.executor()));
+        runtime.spawn(load.clone().generate_hits(runtime.executor()));
         load
     }
 
-    /// Outcomes so far, by path group.
+    /// Outcomes since the start or the last `take_stats`, by path group.
     pub fn stats(&self) -> Vec<GroupStats> {
         lock(&self.0.stats).clone()
     }
@@ -185,23 +187,23 @@
     /// Stops sending new hits, and blocks until those in flight have ended or 20 s have passed.
     pub fn finish(&self) -> Vec<GroupStats> {
         self.0.stopping.store(true, Ordering::SeqCst);
-        let limit = Duration::from_secs(20);
-        crate::runtime::wait_until(limit, || self.0.in_flight.load(Ordering::SeqCst) == 0);
-        lock(&self.0.idle).clear();
+        let timeout = Duration::from_secs(20);
+        crate::runtime::wait_until(timeout, || self.0.in_flight.load(Ordering::SeqCst) == 0);
+        lock(&self.0.idle_connections).clear();
         self.stats()
     }
 
-    async fn arrivals(self, executor: Arc<Executor<'static>>) {
+    async fn generate_hits(self, executor: Arc<Executor<'static>>) {
         let plan = &self.0.plan;
         let mut rng = Pcg64Mcg::seed_from_u64(plan.seed);
-        let Ok(interarrival) = Exp::new(plan.rate) else { return };
-        let shares: f64 = plan.kinds.iter().map(|k| k.share).sum();
+        let Ok(interarrival) = Exp::new(plan.hits_per_second) else { return };
+        let share_sum: f64 = plan.kinds.iter().map(|k| k.share).sum();
         let mut next = Instant::now();
         while !self.0.stopping.load(Ordering::SeqCst) {
-            let mut draw = rng.random_range(0.0..shares);
+            let mut kind_draw = rng.random_range(0.0..share_sum);
             let kind = plan.kinds.iter().find(|k| {
-                draw -= k.share;
-                draw < 0.0
+                kind_draw -= k.share;
+                kind_draw < 0.0
             });
             let Some(kind) = kind.or(plan.kinds.last()).cloned() else { return };
             let (marshal, key, idempotency_key) =
@@ -209,7 +211,7 @@
             self.0.in_flight.fetch_add(1, Ordering::SeqCst);
             let load = self.clone();
             let hit = async move {
-                load.hit(&kind, marshal, key, idempotency_key).await;
+                load.send_hit(&kind, marshal, key, idempotency_key).await;
                 load.0.in_flight.fetch_sub(1, Ordering::SeqCst);
             };
             executor.spawn(hit).detach();
@@ -223,48 +225,50 @@
     }
 
     /// Sends one hit, with its retries.
-    async fn hit(&self, kind: &HitKind, marshal: usize, key: u64, idempotency_key: u64) {
+    async fn send_hit(&self, kind: &HitKind, marshal: usize, key: u64, idempotency_key: u64) {
         let group = &self.0.groups[kind.group];
         let start = Instant::now();
-        self.update_stats(kind.group, |t| t.hits += 1);
-        for tries in 1..=self.0.plan.max_tries.max(1) {
-            let sent = Instant::now();
-            self.update_stats(kind.group, |t| t.tries += 1);
-            let outcome = self.send(kind, marshal, key, idempotency_key, tries > 1).await;
-            let took = sent.elapsed();
+        self.update_stats(kind.group, |stats| stats.hits += 1);
+        for try_number in 1..=self.0.plan.max_tries.max(1) {
+            let sent_at = Instant::now();
+            self.update_stats(kind.group, |stats| stats.tries += 1);
+            let outcome = self.send_try(kind, marshal, key, idempotency_key, try_number > 1).await;
+            let latency = sent_at.elapsed();
             match outcome {
                 TryOutcome::Delivered => {
                     let in_time = start.elapsed() <= group.latency_target;
-                    self.update_stats(kind.group, |t| {
-                        t.delivered += 1;
-                        t.in_time += u64::from(in_time);
-                        t.latency_micros.saturating_record(took.as_micros() as u64);
+                    self.update_stats(kind.group, |stats| {
+                        stats.delivered += 1;
+                        stats.in_time += u64::from(in_time);
+                        stats.latency_micros.saturating_record(latency.as_micros() as u64);
                     });
                     return;
                 }
-                TryOutcome::Bounced(retry_after) if tries < self.0.plan.max_tries => {
+                TryOutcome::Bounced(retry_after) if try_number < self.0.plan.max_tries => {
                     sleep(retry_after.unwrap_or(Span::millis(100))).await;
                 }
-                TryOutcome::Bounced(_) => self.update_stats(kind.group, |t| t.bounced += 1),
+                TryOutcome::Bounced(_) => self.update_stats(kind.group, |stats| stats.bounced += 1),
                 TryOutcome::Errored => {
-                    self.update_stats(kind.group, |t| t.errored += 1);
+                    self.update_stats(kind.group, |stats| stats.errored += 1);
                     return;
                 }
                 TryOutcome::Unanswered => {
-                    self.update_stats(kind.group, |t| t.unanswered += 1);
+                    self.update_stats(kind.group, |stats| stats.unanswered += 1);
                     return;
                 }
             }
         }
     }
 
-    /// Sends one try of a hit, under an id of its own.
-    async fn send(
+    /// Sends one try of a hit, with an id of its own, and waits for its outcome.
+    async fn send_try(
         &self, kind: &HitKind, marshal: usize, key: u64, idempotency_key: u64, is_retry: bool,
     ) -> TryOutcome {
         let group = &self.0.groups[kind.group];
-        let id =
-            format!("{:016x}", self.0.ids.fetch_add(1, Ordering::SeqCst) ^ self.0.plan.seed.rotate_left(32));
+        let id = format!(
+            "{:016x}",
+            self.0.id_sequence.fetch_add(1, Ordering::SeqCst) ^ self.0.plan.seed.rotate_left(32)
+        );
         let (text, idempotency_key) = encode_hit(group, &id, key, idempotency_key, kind, is_retry);
         let request = Request {
             group: kind.group,
@@ -275,21 +279,21 @@
         let give_up = Timer::after(kind.client_timeout + Duration::from_millis(300));
         let mut recorded = false;
         let exchange = async {
-            // The marshal may have closed an idle connection meanwhile; then the hit is sent again on another one.
+            // The marshal may have closed an idle connection meanwhile; the hit is then sent again on another one.
             loop {
-                let (mut conn, fresh) = self.connection(marshal).await?;
+                let (mut conn, is_new) = self.connection(marshal).await?;
                 if wire::write(&mut &conn.stream, &text).await.is_err() {
-                    if fresh { return None } else { continue }
+                    if is_new { return None } else { continue }
                 }
                 if !std::mem::replace(&mut recorded, true) {
                     self.0.checker.lock().hit_sent(&id, request.clone(), self.0.clock.now());
                 }
                 match conn.messages.next(&mut &conn.stream).await {
                     Ok(Some(answer)) => {
-                        lock(&self.0.idle).push((marshal, conn));
+                        lock(&self.0.idle_connections).push((marshal, conn));
                         return Some(answer);
                     }
-                    _ if fresh => return None,
+                    _ if is_new => return None,
                     _ => {}
                 }
             }
@@ -315,7 +319,7 @@
     }
 
     fn record_answer(&self, id: &str, answer: &Message) -> TryOutcome {
-        let (outcome, ended) = match answer {
+        let (outcome, try_outcome) = match answer {
             Message::Bulk(value) if value.starts_with(id.as_bytes()) => {
                 (Outcome::Delivered, TryOutcome::Delivered)
             }
@@ -327,14 +331,14 @@
             _ => (Outcome::Errored, TryOutcome::Errored),
         };
         self.0.checker.lock().hit_answered(id, outcome, self.0.clock.now());
-        ended
+        try_outcome
     }
 
     /// An idle connection to the marshal, or a new one, and whether it is new.
     async fn connection(&self, marshal: usize) -> Option<(Connection, bool)> {
         let permit = loop {
             let idle = {
-                let mut idle = lock(&self.0.idle);
+                let mut idle = lock(&self.0.idle_connections);
                 let position = idle.iter().rposition(|(to, _)| *to == marshal);
                 position.map(|position| idle.swap_remove(position).1)
             };
@@ -352,7 +356,7 @@
     }
 }
 
-/// How a try ended; a bounce with the retry-after delay, if there was one.
+/// Outcome of a try; a bounce has the retry-after delay, if the answer stated one.
 enum TryOutcome {
     Delivered,
     Bounced(Option<Span>),
@@ -360,8 +364,8 @@
     Unanswered,
 }
 
-fn lock<T>(of: &Mutex<T>) -> MutexGuard<'_, T> {
-    of.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+    mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 /// Command of a hit, and its idempotency key if the path group is tagged.
--- a/crates/lab/src/misbehaving.rs
+++ b/crates/lab/src/misbehaving.rs
@@ -1,5 +1,5 @@
-//! Misbehaving clients, by kind. Their hits count as traffic but are not checked: what matters is how the other clients
-//! are served meanwhile.
+//! Misbehaving clients. The checker counts their hits as traffic but does not check them against the rules: tests check
+//! how the other clients are served meanwhile.
 
 use crate::checker::SharedChecker;
 use crate::load::{HitKind, encode_hit};
@@ -14,14 +14,14 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::Duration;
 
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
 /// How a client misbehaves.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Misbehavior {
-    /// Sends hits with large bodies under new idempotency keys, the next one as soon as the last is answered.
+    /// Sends hits under new idempotency keys, each as soon as the last is answered.
     Flood,
     /// Sends hits and never reads an answer.
     NeverReads,
-    /// Sends a command with a large body except for its last byte, and waits.
+    /// Sends a command except for its last byte, and waits.
     IncompleteCommand,
     /// Connects and sends nothing.
     SendsNothing,
@@ -46,13 +46,13 @@
     ) -> Self {
         let stopping = Arc::new(AtomicBool::new(false));
         let (sent, answered) = (Arc::new(AtomicU64::new(0)), Arc::new(AtomicU64::new(0)));
-        for at in 0..count {
+        for index in 0..count {
             let client = MisbehavingClient {
                 misbehavior,
                 addr,
                 group: group.clone(),
                 kind: kind.clone(),
-                sequence: (at as u64) << 32,
+                sequence: (index as u64) << 32,
                 stopping: stopping.clone(),
                 sent: sent.clone(),
                 answered: answered.clone(),
@@ -76,6 +76,7 @@
     addr: SocketAddr,
     group: PathGroup,
     kind: HitKind,
+    /// Sequence number of the last hit, with the client's index in the upper 32 bits.
     sequence: u64,
     stopping: Arc<AtomicBool>,
     sent: Arc<AtomicU64>,
@@ -106,7 +107,8 @@
         or(stopped, connect_loop).await;
     }
 
-    fn command(&mut self) -> Vec<u8> {
+    /// The command of the next hit, which is counted as sent.
+    fn next_command(&mut self) -> Vec<u8> {
         self.sequence += 1;
         self.sent.fetch_add(1, Ordering::Relaxed);
         self.checker.lock().hit_received(self.clock.now());
@@ -118,7 +120,7 @@
         let mut messages = MessageReader::default();
         match self.misbehavior {
             Misbehavior::Flood => loop {
-                let command = self.command();
+                let command = self.next_command();
                 wire::write(&mut &*stream, &command).await?;
                 match messages.next(&mut &*stream).await? {
                     Some(_) => self.answered.fetch_add(1, Ordering::Relaxed),
@@ -126,22 +128,22 @@
                 };
             },
             Misbehavior::NeverReads => loop {
-                let command = self.command();
+                let command = self.next_command();
                 wire::write(&mut &*stream, &command).await?;
                 Timer::after(Duration::from_millis(5)).await;
             },
             Misbehavior::IncompleteCommand => {
-                let command = self.command();
+                let command = self.next_command();
                 wire::write(&mut &*stream, &command[..command.len() - 1]).await?;
                 self.until_closed(stream).await
             }
             Misbehavior::SendsNothing => self.until_closed(stream).await,
             Misbehavior::DisconnectsAtOnce => {
-                let command = self.command();
+                let command = self.next_command();
                 wire::write(&mut &*stream, &command).await
             }
             Misbehavior::StaysIdle => {
-                let command = self.command();
+                let command = self.next_command();
                 wire::write(&mut &*stream, &command).await?;
                 messages.next(&mut &*stream).await?;
                 self.answered.fetch_add(1, Ordering::Relaxed);
--- a/crates/lab/src/platform.rs
+++ b/crates/lab/src/platform.rs
@@ -13,7 +13,7 @@
 
 /// Interval of ping notifications.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
-/// A line of this length ends the connection.
+/// A connection is closed if a line reaches this length.
 const MAX_LINE_BYTES: usize = 8 * 1024;
 
 /// State of the newest build.
@@ -24,12 +24,12 @@
     pub stage: u8,
     /// `testing`, `recalling`, `live` or `recalled`.
     pub phase: &'static str,
-    /// Most share of the hits that the build may get, 0 to 1.
+    /// Maximum share of the hits that the build may receive, 0 to 1.
     pub cap: f64,
 }
 
 impl BuildStatus {
-    /// A build that is released.
+    /// A released build.
     pub fn live(build: u16) -> Self {
         BuildStatus { build, stage: 2, phase: "live", cap: 1.0 }
     }
@@ -55,10 +55,11 @@
 
 struct Inner {
     status: BuildStatus,
-    since: Instant,
+    status_since: Instant,
     subscribers: Vec<Sender<String>>,
+    /// Votes of the last minute, each with the time at which it was received.
     votes: Vec<(Instant, Vote)>,
-    /// Calls are not answered, and pings are not sent.
+    /// While set, calls are not answered, and pings are not sent.
     silent: bool,
     /// Incremented to end all connections.
     close_count: u64,
@@ -82,7 +83,7 @@
         let (line_sender, received) = async_channel::bounded(4096);
         let (subscribers, votes) = (Vec::new(), Vec::new());
         let inner =
-            Inner { status, since: Instant::now(), subscribers, votes, silent: false, close_count: 0 };
+            Inner { status, status_since: Instant::now(), subscribers, votes, silent: false, close_count: 0 };
         let inner = Arc::new(Mutex::new(inner));
         let platform = Platform { addr, inner, clock: runtime.clock, checker, line_sender, received };
         platform.inform_checker();
@@ -94,7 +95,7 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Tells the checker which state the marshal is given.
+    /// Passes the state that the marshal receives on to the checker.
     fn inform_checker(&self) {
         let BuildStatus { build, phase, cap, .. } = self.lock().status;
         self.checker.lock().build_reported(
@@ -114,7 +115,7 @@
     pub fn announce(&self, status: BuildStatus) {
         {
             let mut inner = self.lock();
-            (inner.status, inner.since) = (status, Instant::now());
+            (inner.status, inner.status_since) = (status, Instant::now());
         }
         self.inform_checker();
         let mut inner = self.lock();
@@ -158,6 +159,7 @@
         }
     }
 
+    /// Returns once the connections of this `close_count` are to end.
     async fn until_closed(&self, close_count: u64) {
         while self.lock().close_count == close_count {
             Timer::after(Duration::from_millis(10)).await;
@@ -190,7 +192,13 @@
                 Next::Line(line) => (&mut &*stream).write_all(format!("{line}\n").as_bytes()).await?,
                 Next::Heartbeat => {
                     next_heartbeat = Instant::now() + HEARTBEAT_INTERVAL;
-                    if !silent && self.lock().subscribers.iter().any(|w| w.same_channel(&line_queue)) {
+                    if !silent
+                        && self
+                            .lock()
+                            .subscribers
+                            .iter()
+                            .any(|subscriber| subscriber.same_channel(&line_queue))
+                    {
                         (&mut &*stream)
                             .write_all(format!("{}\n", notification("ping", json!({}))).as_bytes())
                             .await?;
@@ -213,14 +221,14 @@
         }
     }
 
-    /// The answer to a call; none if it cannot be read.
+    /// The answer to a call; none if the call cannot be parsed.
     fn answer(&self, line: &[u8], subscriber: &Sender<String>) -> Option<Value> {
         let _ = self.line_sender.try_send(String::from_utf8_lossy(line).trim_end().to_owned());
         let call: Value = serde_json::from_slice(line).ok()?;
         let id = call.get("id")?.clone();
         let mut inner = self.lock();
-        let age = inner.since.elapsed().as_millis();
-        let state = inner.status.to_json(age);
+        let age_ms = inner.status_since.elapsed().as_millis();
+        let state = inner.status.to_json(age_ms);
         let result = match call["method"].as_str() {
             Some("subscribe") => {
                 let _ = subscriber.try_send(notification("progress", state));
--- a/crates/lab/src/runtime.rs
+++ b/crates/lab/src/runtime.rs
@@ -105,11 +105,11 @@
     Timer::after(Duration::from_nanos(span.as_nanos())).await;
 }
 
-/// Blocks the calling thread until the condition holds; false if it does not within `limit`.
-pub fn wait_until(limit: Duration, mut condition: impl FnMut() -> bool) -> bool {
+/// Blocks the calling thread until the condition holds; false if it does not within `timeout`.
+pub fn wait_until(timeout: Duration, mut condition: impl FnMut() -> bool) -> bool {
     let start = Instant::now();
     while !condition() {
-        if start.elapsed() > limit {
+        if start.elapsed() > timeout {
             return false;
         }
         std::thread::sleep(Duration::from_millis(2));
@@ -117,11 +117,11 @@
     true
 }
 
-/// Blocks the calling thread until the channel's next entry; none if there is none within `limit`.
-pub fn next_within<T>(receiver: &async_channel::Receiver<T>, limit: Duration) -> Option<T> {
-    let timeout = async {
-        Timer::after(limit).await;
+/// Blocks the calling thread until the channel has an entry and returns it; none if there is none within `timeout`.
+pub fn next_within<T>(receiver: &async_channel::Receiver<T>, timeout: Duration) -> Option<T> {
+    let elapsed = async {
+        Timer::after(timeout).await;
         None
     };
-    async_io::block_on(futures_lite::future::or(async { receiver.recv().await.ok() }, timeout))
+    async_io::block_on(futures_lite::future::or(async { receiver.recv().await.ok() }, elapsed))
 }
--- a/crates/lab/src/site.rs
+++ b/crates/lab/src/site.rs
@@ -6,7 +6,7 @@
 use stonescale::settings::{DedupScope, Effect};
 use stonescale::time::Span;
 
-/// A path group, as clients send its hits.
+/// A path group, with the settings that clients need to send its hits and judge their answers.
 #[derive(Clone, Debug)]
 pub struct PathGroup {
     pub name: &'static str,
@@ -17,7 +17,7 @@
     pub benefit: f64,
 }
 
-/// Time that the idempotency key of a tagged hit is remembered at this site.
+/// Time for which the idempotency key of a tagged hit is remembered at this site.
 pub const DEDUP_WINDOW: Duration = Duration::from_millis(3_000);
 
 /// Index of the repeatable path group in `path_groups`.
--- a/crates/lab/src/soak.rs
+++ b/crates/lab/src/soak.rs
@@ -34,9 +34,9 @@
     pub seed: u64,
     pub node_count: usize,
     pub limits: Limits,
-    /// Time after which nodes close an idle connection, as stated in the marshal's settings. Connections left open by a
-    /// fault must close soon after it; otherwise the order of the faults shows up as noise in the samples that are taken
-    /// without a fault.
+    /// Time after which nodes close an idle connection, as stated in the marshal's settings. Connections left open by
+    /// a fault must close soon after it; otherwise the order of the faults shows up as noise in the samples that are
+    /// taken without a fault.
     pub keepalive: Duration,
     /// Hits per second of well-behaved clients.
     pub hits_per_second: f64,
--- a/crates/lab/src/wire.rs
+++ b/crates/lab/src/wire.rs
@@ -5,7 +5,7 @@
 use std::io;
 use stonescale_formats::resp::{ElementKind, MessageLimits, Scanner, write_bulk_string};
 
-/// Larger than the limits of the protocol page, so that it is the other side that finds a message too large.
+/// Larger than the limits of the protocol page, so that the marshal is the one to reject a message that is too large.
 const READ_LIMITS: MessageLimits = MessageLimits {
     max_elements: 32,
     max_bulk_bytes: 1 << 20,
@@ -50,7 +50,7 @@
             }
             match stream.read(&mut self.scratch).await? {
                 0 => return Ok(None),
-                n => self.buffer.extend_from_slice(&self.scratch[..n]),
+                count => self.buffer.extend_from_slice(&self.scratch[..count]),
             }
         }
     }
@@ -60,13 +60,14 @@
         if self.buffer.is_empty() {
             return Ok(None);
         }
-        let invalid = |why| io::Error::new(io::ErrorKind::InvalidData, why);
+        let invalid = |error| io::Error::new(io::ErrorKind::InvalidData, error);
         let Some(length) = self.scanner.scan(&self.buffer).map_err(invalid)? else { return Ok(None) };
-        let text = |part: &stonescale_formats::resp::Element| self.buffer[part.payload.clone()].to_vec();
+        let payload =
+            |element: &stonescale_formats::resp::Element| self.buffer[element.payload.clone()].to_vec();
         let message = match (self.scanner.is_array, self.scanner.elements.first()) {
-            (true, _) => Message::Array(self.scanner.elements.iter().map(text).collect()),
-            (false, Some(part)) => match part.kind {
-                ElementKind::BulkString => Message::Bulk(text(part)),
+            (true, _) => Message::Array(self.scanner.elements.iter().map(payload).collect()),
+            (false, Some(element)) => match element.kind {
+                ElementKind::BulkString => Message::Bulk(payload(element)),
                 ElementKind::Null => Message::Null,
                 _ => Message::Line(String::from_utf8_lossy(&self.buffer[..length]).trim_end().to_owned()),
             },
@@ -78,10 +79,10 @@
     }
 }
 
-/// A command as an array of bulk strings.
-pub fn encode_command(words: &[&[u8]]) -> Vec<u8> {
-    let mut out = format!("*{}\r\n", words.len()).into_bytes();
-    words.iter().for_each(|word| write_bulk_string(&mut out, word));
+/// Encodes a command as an array of bulk strings.
+pub fn encode_command(arguments: &[&[u8]]) -> Vec<u8> {
+    let mut out = format!("*{}\r\n", arguments.len()).into_bytes();
+    arguments.iter().for_each(|argument| write_bulk_string(&mut out, argument));
     out
 }
 
--- a/crates/lab/tests/node.rs
+++ b/crates/lab/tests/node.rs
@@ -1,4 +1,4 @@
-//! The stand-in node follows the protocol where a marshal depends on it.
+//! Tests of the stand-in node, where a marshal depends on its following the protocol.
 
 use stonescale_lab::checker::{Bounds, Checker, SharedChecker};
 use stonescale_lab::node::{Node, NodeBehavior, ScriptedReply};
@@ -13,8 +13,8 @@
     node.script([ScriptedReply::NoReply]);
     let mut stream = std::net::TcpStream::connect(node.addr).unwrap();
     let command = |id: &[u8]| wire::encode_command(&[b"SVC.QUERY", b"7f3a", id, b"c=read,t=acme,d=900"]);
-    // Both in one write. A marshal pairs answers with commands by their order: it would take an answer to the second
-    // command for that of the first.
+    // Both are sent in one write. A marshal pairs answers with commands by their order, so it would take an answer to
+    // the second command for that of the first.
     stream.write_all(&[command(b"one"), command(b"two")].concat()).unwrap();
     assert!(wait_until(std::time::Duration::from_secs(20), || node.commands_received() == 2));
     // A command on another connection is answered first, so that an answer to the second one would have come by then.
--- a/crates/marshal/tests/memory.rs
+++ b/crates/marshal/tests/memory.rs
@@ -17,7 +17,7 @@
 
 const MIB: usize = 1 << 20;
 
-/// A test environment that runs by itself: the load of one test would delay the clients of others that ran beside it.
+/// A site that runs while no other test does: the load of one test would delay the clients of tests beside it.
 struct ExclusiveWorld {
     world: World,
     _guard: MutexGuard<'static, ()>,
@@ -40,36 +40,36 @@
     }
 }
 
-fn world(memory_mb: usize, sockets: usize) -> ExclusiveWorld {
+fn four_node_world(memory_mb: usize, sockets: usize) -> ExclusiveWorld {
     exclusive_world(4, Limits { memory_mb, sockets }, &[])
 }
 
-/// Shortest time for which a fault is kept up.
+/// Minimum duration of a fault.
 const FAULT_DURATION: Duration = Duration::from_millis(3_000);
-/// Time after which a condition counts as never reached, even on the slowest machine.
+/// Time after which a condition counts as never met, even on the slowest machine.
 const TEST_TIMEOUT: Duration = Duration::from_secs(20);
-/// Finished reads for which the share of delivered ones is computed.
-const SAMPLE_READS: u64 = 50;
+/// Number of finished repeatable hits for which the share of delivered ones is computed.
+const SAMPLE_HITS: u64 = 50;
 
-/// Waits for `span`; returns the most resident bytes meanwhile.
+/// Waits for `span`; returns the maximum of the resident bytes meanwhile.
 fn peak_resident_during(world: &World, span: Duration) -> usize {
     let start = Instant::now();
     world.max_resident_bytes_until(|| start.elapsed() >= span)
 }
 
-/// Runs the load for at least `min_duration`, and until more than `min_share` of `SAMPLE_READS` consecutive reads is
-/// delivered; further samples are taken, as a machine that is briefly held up can spoil one. Then stops the load and
-/// returns the most resident bytes meanwhile.
-fn assert_served(world: &World, load: &Load, min_share: f64, min_duration: Duration) -> usize {
+/// Runs the load for at least `min_duration`, and until more than `min_share` of `SAMPLE_HITS` consecutive
+/// repeatable hits is delivered; further samples are taken, as a brief stall of the machine can fail one. Then stops
+/// the load and returns the maximum of the resident bytes meanwhile.
+fn assert_hits_served(world: &World, load: &Load, min_share: f64, min_duration: Duration) -> usize {
     let (start, mut reached, mut sample) = (Instant::now(), false, String::new());
     load.take_stats();
     let peak = world.max_resident_bytes_until(|| {
-        let read = load.stats().swap_remove(REPEATABLE);
-        let ended = read.delivered + read.bounced + read.errored + read.unanswered;
-        if ended >= SAMPLE_READS {
-            reached = read.delivered as f64 > min_share * ended as f64;
-            let (bounced, errored) = (read.bounced, read.errored);
-            sample = format!("{} of {ended} ({bounced} bounced, {errored} errored)", read.delivered);
+        let stats = load.stats().swap_remove(REPEATABLE);
+        let finished = stats.delivered + stats.bounced + stats.errored + stats.unanswered;
+        if finished >= SAMPLE_HITS {
+            reached = stats.delivered as f64 > min_share * finished as f64;
+            let (bounced, errored) = (stats.bounced, stats.errored);
+            sample = format!("{} of {finished} ({bounced} bounced, {errored} errored)", stats.delivered);
             load.take_stats();
         }
         start.elapsed() >= TEST_TIMEOUT || reached && start.elapsed() >= min_duration
@@ -79,18 +79,18 @@
     peak
 }
 
-/// Ends the nodes' fault; well-behaved clients are served as before soon afterwards.
+/// Ends the nodes' faults and asserts that well-behaved clients are soon served as before.
 fn assert_recovered(world: &World) {
     world.set_fault_mode_of_all_nodes(FaultMode::Healthy);
-    let reads = world.start_load(LoadPlan::repeatable(100.0, 9));
-    assert_served(world, &reads, 0.95, Duration::ZERO);
+    let load = world.start_load(LoadPlan::repeatable(100.0, 9));
+    assert_hits_served(world, &load, 0.95, Duration::ZERO);
 }
 
-// Floods of tagged commands of 40 KB or more, each with a new dedup key, some of them against silent nodes.
+// Floods of tagged commands of 40 KB or more, each with a new idempotency key, some of them against silent nodes.
 
 #[test]
 fn a_flood_is_limited_by_its_cap_and_service_recovers_after_it() {
-    let world = world(32, 1024);
+    let world = four_node_world(32, 1024);
     world.set_fault_mode_of_all_nodes(FaultMode::Silent);
     let flood = world.start_misbehaving_clients(Misbehavior::Flood, 450, TAGGED, 60_000);
     let peak = peak_resident_during(&world, FAULT_DURATION);
@@ -101,14 +101,14 @@
 }
 
 #[test]
-fn reads_are_served_while_a_flood_waits_for_silent_nodes() {
+fn repeatable_hits_are_served_while_a_flood_waits_for_silent_nodes() {
     // Half of the nodes are silent, so that the flood's hits stay in flight for long and fill their purpose.
-    let world = world(8, 1024);
-    world.nodes[..2].iter().for_each(|n| n.set_fault_mode(FaultMode::Silent));
+    let world = four_node_world(8, 1024);
+    world.nodes[..2].iter().for_each(|node| node.set_fault_mode(FaultMode::Silent));
     let flood = world.start_misbehaving_clients(Misbehavior::Flood, 150, TAGGED, 40_000);
     std::thread::sleep(Duration::from_millis(1_000));
-    let reads = world.start_load(LoadPlan::repeatable(100.0, 3));
-    let peak = assert_served(&world, &reads, 0.9, FAULT_DURATION);
+    let load = world.start_load(LoadPlan::repeatable(100.0, 3));
+    let peak = assert_hits_served(&world, &load, 0.9, FAULT_DURATION);
     drop(flood);
     assert!(peak < 8 * MIB, "resident {peak}");
     assert_recovered(&world);
@@ -117,11 +117,11 @@
 
 #[test]
 fn other_clients_are_served_while_a_flood_holds_every_connection() {
-    let world = world(32, 256);
+    let world = four_node_world(32, 256);
     let flood = world.start_misbehaving_clients(Misbehavior::Flood, 200, TAGGED, 40_000);
     std::thread::sleep(Duration::from_millis(1_500));
-    let reads = world.start_load(LoadPlan::repeatable(50.0, 3));
-    assert_served(&world, &reads, 0.5, FAULT_DURATION);
+    let load = world.start_load(LoadPlan::repeatable(50.0, 3));
+    assert_hits_served(&world, &load, 0.5, FAULT_DURATION);
     drop(flood);
     assert_recovered(&world);
 }
@@ -130,8 +130,8 @@
 
 #[test]
 fn clients_that_never_read_are_disconnected_before_memory_runs_out() {
-    let world = world(8, 1024);
-    world.nodes.iter().for_each(|n| n.update_behavior(|behavior| behavior.value_bytes = 60_000));
+    let world = four_node_world(8, 1024);
+    world.nodes.iter().for_each(|node| node.update_behavior(|behavior| behavior.value_bytes = 60_000));
     let never_reading = world.start_misbehaving_clients(Misbehavior::NeverReads, 150, REPEATABLE, 0);
     let peak = peak_resident_during(&world, FAULT_DURATION);
     drop(never_reading);
@@ -141,11 +141,11 @@
 
 #[test]
 fn incomplete_commands_leave_room_for_complete_ones() {
-    let world = world(8, 1024);
+    let world = four_node_world(8, 1024);
     let incomplete = world.start_misbehaving_clients(Misbehavior::IncompleteCommand, 400, TAGGED, 65_000);
     std::thread::sleep(Duration::from_millis(500));
-    let reads = world.start_load(LoadPlan::repeatable(100.0, 3));
-    let peak = assert_served(&world, &reads, 0.9, FAULT_DURATION);
+    let load = world.start_load(LoadPlan::repeatable(100.0, 3));
+    let peak = assert_hits_served(&world, &load, 0.9, FAULT_DURATION);
     drop(incomplete);
     assert!(peak < 8 * MIB, "resident {peak}");
     assert_recovered(&world);
@@ -155,7 +155,7 @@
 #[test]
 fn simultaneous_values_of_all_nodes_for_disconnected_clients_stay_within_their_cap() {
     let world = exclusive_world(128, Limits { memory_mb: 8, sockets: 1024 }, &[]);
-    world.nodes.iter().for_each(|n| n.update_behavior(|behavior| behavior.value_bytes = 65_000));
+    world.nodes.iter().for_each(|node| node.update_behavior(|behavior| behavior.value_bytes = 65_000));
     // No value can be forwarded, as each lacks its last byte; together they exceed the memory limit of the process.
     world.set_fault_mode_of_all_nodes(FaultMode::WithholdingLastByte);
     let idle_clients = world.start_misbehaving_clients(Misbehavior::StaysIdle, 500, REPEATABLE, 0);
@@ -172,12 +172,12 @@
 
 #[test]
 fn unread_output_for_one_node_does_not_affect_the_others() {
-    let world = world(8, 256);
+    let world = four_node_world(8, 256);
     world.nodes[0].set_fault_mode(FaultMode::NotReading);
     let flood = world.start_misbehaving_clients(Misbehavior::Flood, 40, TAGGED, 40_000);
-    let reads = world.start_load(LoadPlan::repeatable(100.0, 3));
+    let load = world.start_load(LoadPlan::repeatable(100.0, 3));
     std::thread::sleep(Duration::from_millis(500));
-    let peak = assert_served(&world, &reads, 0.9, FAULT_DURATION);
+    let peak = assert_hits_served(&world, &load, 0.9, FAULT_DURATION);
     drop(flood);
     assert!(peak < 8 * MIB, "resident {peak}");
     assert_recovered(&world);
@@ -186,7 +186,7 @@
 
 #[test]
 fn answered_hits_with_long_deadlines_leave_no_memory_behind() {
-    let world = world(8, 256);
+    let world = four_node_world(8, 256);
     let flood = world.start_misbehaving_clients_with_timeout(
         Misbehavior::Flood,
         40,
@@ -202,7 +202,7 @@
     assert!(peak < before + MIB, "resident {before}, then {peak}");
 }
 
-// Long and ever new node lists.
+// Node lists that are long or change all the time.
 
 fn unreachable_nodes(ids: std::ops::Range<usize>, state: &str) -> Vec<Entry> {
     let addr = ([127, 0, 0, 1], 9).into();
@@ -211,21 +211,21 @@
 }
 
 #[test]
-fn a_list_of_ten_thousand_nodes_is_taken_up_to_the_cap_and_hits_are_still_served() {
-    let world = world(32, 256);
-    let reads = world.start_load(LoadPlan::repeatable(100.0, 3));
+fn a_list_of_ten_thousand_nodes_is_accepted_up_to_the_cap_and_hits_are_still_served() {
+    let world = four_node_world(32, 256);
+    let load = world.start_load(LoadPlan::repeatable(100.0, 3));
     world.discovery.publish(unreachable_nodes(0..10_000, "draining"));
     let line = world.program.wait_for_log_line("are left out", TEST_TIMEOUT).unwrap();
     assert!(line.contains("nodes of the list"), "{line}");
-    let peak = assert_served(&world, &reads, 0.95, FAULT_DURATION / 2);
+    let peak = assert_hits_served(&world, &load, 0.95, FAULT_DURATION / 2);
     assert!(peak < 32 * MIB, "resident {peak}");
     assert_eq!(world.checker.violation_report(), "");
 }
 
 #[test]
-fn an_endless_line_and_ever_new_lists_do_not_grow_memory() {
-    let world = world(8, 256);
-    let reads = world.start_load(LoadPlan::repeatable(100.0, 3));
+fn an_unterminated_line_and_lists_of_new_nodes_do_not_grow_memory() {
+    let world = four_node_world(8, 256);
+    let load = world.start_load(LoadPlan::repeatable(100.0, 3));
     // A node's index is free again only some seconds after the node is gone, so the lists bring no more than a few
     // hundred ids a second.
     let round = |number: usize| {
@@ -238,22 +238,23 @@
     let before = world.program.usage().unwrap().resident_bytes;
     (40..80).for_each(round);
     world.discovery.send_raw(Some("x".repeat(6 << 20)));
-    let peak = assert_served(&world, &reads, 0.95, FAULT_DURATION / 2);
+    let peak = assert_hits_served(&world, &load, 0.95, FAULT_DURATION / 2);
     assert!(peak < before + MIB, "resident {before}, then {peak}");
 }
 
-// What operators see and configure.
+// Reports to operators, and the operator's file.
 
-fn world_with(operator: &str) -> (ExclusiveWorld, std::path::PathBuf) {
+fn world_with_operator_file(text: &str) -> (ExclusiveWorld, std::path::PathBuf) {
     let path = unique_temp_path("ini");
-    std::fs::write(&path, operator).unwrap();
+    std::fs::write(&path, text).unwrap();
     let args = ["--operator", path.to_str().unwrap()];
     (exclusive_world(2, Limits { memory_mb: 8, sockets: 256 }, &args), path)
 }
 
 #[test]
-fn sigusr1_logs_the_account_of_every_purpose() {
-    let (world, _path) = world_with("[memory]\nreport_every = 0\n[log]\nlines_per_second = 1000\n");
+fn sigusr1_logs_the_memory_of_every_purpose() {
+    let (world, _path) =
+        world_with_operator_file("[memory]\nreport_every = 0\n[log]\nlines_per_second = 1000\n");
     world.program.signal("USR1");
     let line = world.program.wait_for_log_line("memory of the process", TEST_TIMEOUT).unwrap();
     assert!(line.contains("resident=") && line.contains("unaccounted="), "{line}");
@@ -266,8 +267,9 @@
 
 #[test]
 fn the_periodic_report_is_logged_as_json_if_configured() {
-    let (world, _path) =
-        world_with("[memory]\nreport_every = 250ms\n[log]\nformat = json\nlines_per_second = 1000\n");
+    let (world, _path) = world_with_operator_file(
+        "[memory]\nreport_every = 250ms\n[log]\nformat = json\nlines_per_second = 1000\n",
+    );
     let line = world.program.wait_for_log_line("memory by purpose", TEST_TIMEOUT).unwrap();
     let event: serde_json::Value = serde_json::from_str(&line).unwrap();
     assert_eq!(event["purpose"], "clients");
@@ -276,7 +278,7 @@
 
 #[test]
 fn a_level_change_is_logged_and_reverts_once_the_pressure_ends() {
-    let (world, _path) = world_with("[memory.halves]\ncap = 8%\n");
+    let (world, _path) = world_with_operator_file("[memory.halves]\ncap = 8%\n");
     let incomplete = world.start_misbehaving_clients(Misbehavior::IncompleteCommand, 40, TAGGED, 65_000);
     let line = world.program.wait_for_log_line("memory level", TEST_TIMEOUT).unwrap();
     assert!(line.contains("purpose=\"halves\"") && line.contains("from=\"easy\""), "{line}");
@@ -285,10 +287,10 @@
     while !next_recovery().contains("purpose=\"halves\"") {}
 }
 
-/// Waits until a report shows that this purpose reclaimed something under pressure.
+/// Waits until a report shows that memory of this purpose has been reclaimed.
 fn assert_reclaims(world: &World, purpose: &str) {
-    let named = format!("memory by purpose purpose=\"{purpose}\"");
-    let line = || world.program.wait_for_log_line(&named, TEST_TIMEOUT).unwrap();
+    let pattern = format!("memory by purpose purpose=\"{purpose}\"");
+    let line = || world.program.wait_for_log_line(&pattern, TEST_TIMEOUT).unwrap();
     assert!(wait_until(TEST_TIMEOUT, || !line().contains(" reclaimed=0 ")), "{purpose}");
 }
 
@@ -297,14 +299,14 @@
 #[test]
 fn idle_clients_are_closed_before_connections_run_out() {
     // At most 144 connections are accepted; a silent one is closed anyway after 2.5 s.
-    let (world, _path) = world_with(FREQUENT_REPORTS);
+    let (world, _path) = world_with_operator_file(FREQUENT_REPORTS);
     let _silent_clients = world.start_misbehaving_clients(Misbehavior::SendsNothing, 120, REPEATABLE, 0);
     assert_reclaims(&world, "clients");
 }
 
 #[test]
 fn gone_nodes_are_evicted_before_listed_nodes_are_left_out() {
-    let (world, _path) = world_with(FREQUENT_REPORTS);
+    let (world, _path) = world_with_operator_file(FREQUENT_REPORTS);
     // At most 2,048 nodes are held. Two lists are sent, as a single one would use up the memory that the nodes are
     // to fill.
     world.discovery.publish(unreachable_nodes(0..950, "removed"));
@@ -314,7 +316,7 @@
 
 #[test]
 fn sighup_applies_the_operators_file_completely_or_not_at_all() {
-    let (world, path) = world_with("[memory]\nreport_every = 0\n");
+    let (world, path) = world_with_operator_file("[memory]\nreport_every = 0\n");
     std::fs::write(&path, "[memory]\nreport_every = 250ms\n[memory.hats]\ncap = 1%\n").unwrap();
     world.program.signal("HUP");
     let line = world.program.wait_for_log_line("it is faulty", TEST_TIMEOUT).unwrap();
@@ -331,9 +333,9 @@
 #[test]
 fn pipelined_values_are_returned_in_order_or_errored_if_there_is_no_room() {
     use std::io::{BufRead, BufReader, Read, Write};
-    let world = world(8, 256);
-    world.nodes.iter().for_each(|n| n.update_behavior(|behavior| behavior.value_bytes = 60_000));
-    world.nodes.iter().for_each(|n| n.script([ScriptedReply::NoReply]));
+    let world = four_node_world(8, 256);
+    world.nodes.iter().for_each(|node| node.update_behavior(|behavior| behavior.value_bytes = 60_000));
+    world.nodes.iter().for_each(|node| node.script([ScriptedReply::NoReply]));
     let mut stream = std::net::TcpStream::connect(world.program.addr).unwrap();
     stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     let ids: Vec<_> = (0..60).map(|n| format!("{n:016x}")).collect();
--- a/crates/marshal/tests/sockets.rs
+++ b/crates/marshal/tests/sockets.rs
@@ -1,5 +1,5 @@
-//! End-to-end tests: the marshal's binary on loopback sockets, against fake nodes, a fake discovery and a fake
-//! platform that follow the operators' protocol page.
+//! End-to-end tests: the marshal's binary on loopback sockets, with the laboratory's stand-ins for nodes, discovery and
+//! platform.
 
 use rstest::rstest;
 use serde_json::{Value, json};
@@ -18,17 +18,17 @@
 use stonescale_lab::program::{Program, unique_temp_path};
 use stonescale_lab::runtime::{next_within, wait_until};
 
-/// Longer than any step takes; a test that waits for so long has failed.
+/// Longer than any step of a test takes; a test that waits this long has failed.
 const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Runs the fake nodes, discoveries and platforms of all tests.
+/// Runs the stand-ins of all tests.
 static RUNTIME: LazyLock<Runtime> = LazyLock::new(Runtime::default);
 
 fn checker() -> SharedChecker {
     SharedChecker::new(Checker::new(Bounds::default(), 0.1))
 }
 
-/// A node that treats its first commands as `script` says and serves all others.
+/// A node that replies to its first commands by `script` and serves all others.
 fn scripted_node(script: impl IntoIterator<Item = ScriptedReply>) -> Node {
     let node = Node::start(&RUNTIME, "s-0", 0, NodeBehavior::default(), checker());
     node.script(script);
