--- a/crates/lab/src/checker.rs
+++ b/crates/lab/src/checker.rs
@@ -37,7 +37,7 @@
 pub struct ColdStart {
     /// Share of its full capacity with which a node starts, and the time over which the share rises linearly to 1.
     pub initial_share: f64,
-    pub ramp: Span,
+    pub ramp_duration: Span,
     /// A node is overloaded if it receives more than this multiple of its current capacity for this long.
     pub overload_factor: f64,
     pub overload_duration: Span,
@@ -46,7 +46,7 @@
 impl ColdStart {
     /// Share of its full capacity that a node has at this age.
     fn capacity_share(&self, age: Span) -> f64 {
-        (self.initial_share + (1.0 - self.initial_share) * age.ratio_to(self.ramp)).min(1.0)
+        (self.initial_share + (1.0 - self.initial_share) * age.ratio_to(self.ramp_duration)).min(1.0)
     }
 }
 
@@ -56,7 +56,7 @@
 /// Forwards to a node that started cold.
 #[derive(Clone, Copy)]
 struct WarmingNode {
-    started: Time,
+    started_at: Time,
     /// Capacity once warm, in commands per second.
     capacity: f64,
     /// Number of the current interval since the node's start, and the forwards in it.
@@ -71,7 +71,7 @@
     /// Counts a forward. True if an overload that began while the node was cold has lasted for `overload_duration`, as
     /// found at the first forward after an interval.
     fn record_forward(&mut self, cold: &ColdStart, now: Time) -> bool {
-        let interval = ((now - self.started).as_nanos()) / COUNT_INTERVAL.as_nanos();
+        let interval = ((now - self.started_at).as_nanos()) / COUNT_INTERVAL.as_nanos();
         let mut overloaded = false;
         if interval != self.interval {
             let span_of = |interval_count: u64| COUNT_INTERVAL * interval_count as f64;
@@ -109,7 +109,7 @@
             cap_factor: 1.04,
             cold_start: ColdStart {
                 initial_share: 0.3,
-                ramp: Span::millis(1_000),
+                ramp_duration: Span::millis(1_000),
                 overload_factor: 2.0,
                 overload_duration: Span::millis(3_000),
             },
@@ -138,6 +138,7 @@
 /// A hit as its client sent it.
 #[derive(Clone, Debug)]
 pub struct Request {
+    /// Index of the path group.
     pub group: usize,
     pub effect: Effect,
     pub idempotency_key: Option<String>,
@@ -206,12 +207,13 @@
     recent_forwards: BTreeMap<u16, VecDeque<Time>>,
     /// When the command with each idempotency key was executed.
     executed_keys: HashMap<String, Time>,
+    /// The first violations, up to `MAX_VIOLATION_TEXTS`, and the number of all.
     pub violations: Vec<Violation>,
     pub violation_count: u64,
     pub totals: Totals,
 }
 
-/// Totals over all hits.
+/// Numbers of hits, by outcome, and of forwards and executions.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Totals {
     pub sent: u64,
@@ -459,10 +461,11 @@
     /// A cold node starts; `capacity` is its capacity once warm, in commands per second.
     pub fn node_started(&mut self, node: &str, capacity: f64, now: Time) {
         // Nodes whose warm-up ended long ago need no check any more.
-        let ColdStart { ramp, overload_duration, .. } = self.bounds.cold_start;
-        self.warming_nodes.retain(|_, warming| now - warming.started <= ramp + overload_duration * 2.0);
+        let ColdStart { ramp_duration, overload_duration, .. } = self.bounds.cold_start;
+        self.warming_nodes
+            .retain(|_, warming| now - warming.started_at <= ramp_duration + overload_duration * 2.0);
         let warming =
-            WarmingNode { started: now, capacity, interval: 0, forwards: 0, overloaded_since: None };
+            WarmingNode { started_at: now, capacity, interval: 0, forwards: 0, overloaded_since: None };
         self.warming_nodes.insert(node.to_owned(), warming);
     }
 
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -6,7 +6,7 @@
 use std::process::ExitCode;
 use stonescale_lab::{cost, demo, sizes, soak};
 
-/// Exit code where a stated tolerance was missed.
+/// Exit code if a stated tolerance was missed.
 const EXIT_TOLERANCE_MISSED: u8 = 3;
 
 /// Runs experiments with a marshal on loopback, with stand-ins for everything else. Exits with 0 on success, 1 on a
--- a/crates/lab/src/program.rs
+++ b/crates/lab/src/program.rs
@@ -65,7 +65,7 @@
         command.envs(std::env::var("STONESCALE_MUTANT").map(|mutant| ("STONESCALE_MUTANT", mutant)));
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped());
         let mut child = command.spawn().map_err(|e| format!("{}: {e}", binary.display()))?;
-        let stderr = child.stderr.take().ok_or("no log")?;
+        let stderr = child.stderr.take().ok_or("the marshal's standard error is not captured")?;
         let (lines, log) = sync_channel(LOG_QUEUE_LINES);
         std::thread::spawn(move || read_log(BufReader::new(stderr), &lines));
         let mut program = Program { child, addr: ([127, 0, 0, 1], 0).into(), config_path: path, log };
--- a/crates/lab/src/soak.rs
+++ b/crates/lab/src/soak.rs
@@ -49,7 +49,7 @@
     pub warm_up_cycles: usize,
     /// Interval of the marshal's memory reports.
     pub sample_interval: Duration,
-    /// The faults of each cycle, one a phase.
+    /// The faults of each cycle, one per phase.
     pub faults: Vec<Fault>,
     /// Tolerated growth of a purpose, in bytes per second; compared with the upper bound of the slope.
     pub max_purpose_slope: f64,
@@ -76,9 +76,9 @@
     if text == "all" {
         return Ok(faults::ALL_FAULTS.to_vec());
     }
-    let parse =
+    let parse_name =
         |name: &str| Fault::from_name(name).ok_or_else(|| format!("names an unknown trouble '{name}'"));
-    text.split(',').map(|name| parse(name.trim())).collect()
+    text.split(',').map(|name| parse_name(name.trim())).collect()
 }
 
 fn to_duration(span: Span) -> Duration {
@@ -94,8 +94,8 @@
     /// Takes a scenario from parsed settings; a wrong value or an unknown key is an error that names its line.
     pub fn from_settings(mut ini: IniSettings) -> Result<Self, String> {
         let take_duration = |ini: &mut IniSettings, key, default| {
-            ini.take_value("soak", key, default, ini_settings::parse_duration, |s| {
-                ini_settings::format_duration(*s)
+            ini.take_value("soak", key, default, ini_settings::parse_duration, |span| {
+                ini_settings::format_duration(*span)
             })
             .map(to_duration)
         };
@@ -242,9 +242,9 @@
     normal_behavior: NodeBehavior,
     series: Series,
     /// Samples taken without a fault: only what is held permanently shows in them.
-    quiet_series: Series,
+    fault_free_series: Series,
     /// Start of the current period without a fault, in seconds since the start of the run.
-    quiet_since: Option<f64>,
+    fault_free_since: Option<f64>,
     /// Caps in bytes, by purpose.
     caps: BTreeMap<String, f64>,
 }
@@ -285,8 +285,8 @@
         builds_offered: 0,
         normal_behavior,
         series: Series::new(),
-        quiet_series: Series::new(),
-        quiet_since: None,
+        fault_free_series: Series::new(),
+        fault_free_since: None,
         caps: BTreeMap::new(),
     };
     let mut previous = None;
@@ -297,7 +297,7 @@
         if previous != Some((phase, active)) {
             previous = Some((phase, active));
             run.end_fault();
-            run.quiet_since = (!active).then_some(elapsed.as_secs_f64());
+            run.fault_free_since = (!active).then_some(elapsed.as_secs_f64());
             if active {
                 run.start_fault(fault, elapsed);
             }
@@ -425,8 +425,10 @@
         // A report may be as old as the last poll, and connections take a moment to close: samples count as taken
         // without a fault only after an eighth of the phase.
         let settling_seconds = self.scenario.phase_length.as_secs_f64() / 8.0;
-        let quiet = self.quiet_since.is_some_and(|since| at - since >= settling_seconds);
-        for series in std::iter::once(&mut self.series).chain(quiet.then_some(&mut self.quiet_series)) {
+        let fault_free = self.fault_free_since.is_some_and(|since| at - since >= settling_seconds);
+        for series in
+            std::iter::once(&mut self.series).chain(fault_free.then_some(&mut self.fault_free_series))
+        {
             match series.get_mut(name) {
                 Some(samples) => samples.push((at, value)),
                 None => drop(series.insert(name.to_owned(), vec![(at, value)])),
@@ -481,8 +483,9 @@
         let mut rows = Vec::new();
         let mut missed_tolerances = Vec::new();
         for (name, all_samples) in &self.series {
-            let quiet = self.quiet_series.get(name).map_or(&[][..], Vec::as_slice);
-            let after_warm_up: Vec<_> = quiet.iter().copied().filter(|s| s.0 >= warm_up_seconds).collect();
+            let fault_free = self.fault_free_series.get(name).map_or(&[][..], Vec::as_slice);
+            let after_warm_up: Vec<_> =
+                fault_free.iter().copied().filter(|s| s.0 >= warm_up_seconds).collect();
             let max = all_samples.iter().map(|s| s.1).fold(0.0, f64::max);
             let Some(trend) = Trend::fit(&after_warm_up, block_seconds) else {
                 missed_tolerances.push(format!("{name}: too few samples for a trend"));
