--- a/crates/budget/src/buffer.rs
+++ b/crates/budget/src/buffer.rs
@@ -31,10 +31,12 @@
         Buffer { prepaid: MIN_CAPACITY_BYTES, ..Buffer::new(ledger, purpose) }
     }
 
+    /// The bytes that are not consumed yet.
     pub fn as_slice(&self) -> &[u8] {
         &self.bytes[self.consumed..]
     }
 
+    /// Number of bytes that are not consumed yet.
     pub fn len(&self) -> usize {
         self.bytes.len() - self.consumed
     }
@@ -158,6 +160,7 @@
         Ok(Block { bytes: bytes.to_vec(), range: 0..bytes.len(), charge })
     }
 
+    /// The bytes of the current range; see [`Block::narrow`].
     pub fn as_slice(&self) -> &[u8] {
         &self.bytes[self.range.clone()]
     }
--- a/crates/budget/src/ledger.rs
+++ b/crates/budget/src/ledger.rs
@@ -34,10 +34,12 @@
 #[derive(Clone, Copy, Debug)]
 pub struct PurposeReport {
     pub purpose: Purpose,
+    /// Its bounds and use in bytes.
     pub account: Account,
     pub level: Level,
-    /// Charges refused, and bytes reclaimed under pressure, since the start.
+    /// Charges refused since the start.
     pub refusals: u64,
+    /// Bytes reclaimed under pressure since the start.
     pub reclaimed: u64,
     /// Number of level changes since the start.
     pub changes: u64,
@@ -86,6 +88,7 @@
 pub struct Ledger(Rc<RefCell<LedgerState>>);
 
 impl Ledger {
+    /// The accounts of a plan, with nothing charged yet.
     pub fn new(plan: &Plan) -> Self {
         let purposes: Vec<_> = plan.accounts.iter().map(|(purpose, _)| *purpose).collect();
         let accounts: Vec<_> = plan.accounts.iter().map(|(_, account)| *account).collect();
@@ -136,6 +139,7 @@
         self.0.borrow().pool.accounts()[index].cap
     }
 
+    /// Pressure on the purpose when its account last changed.
     pub fn level(&self, purpose: Purpose) -> Level {
         let index = self.index_of(purpose);
         self.0.borrow().stats[index].tracker.level()
@@ -201,6 +205,7 @@
         self.purpose
     }
 
+    /// A handle to the ledger that records this charge.
     pub fn ledger(&self) -> Ledger {
         self.ledger.clone()
     }
--- a/crates/budget/src/level.rs
+++ b/crates/budget/src/level.rs
@@ -50,6 +50,7 @@
 }
 
 impl LevelTracker {
+    /// The level after the last update.
     pub fn level(&self) -> Level {
         self.level
     }
--- a/crates/budget/src/plan.rs
+++ b/crates/budget/src/plan.rs
@@ -38,7 +38,9 @@
 /// Cap and reserve of a purpose, as fractions (0 to 1) of the memory left after the connections.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Share {
+    /// Most that the purpose may hold; [`Shares::check`] rejects zero.
     pub cap: f64,
+    /// Part that no other purpose can use; [`Shares::check`] rejects more than the cap.
     pub reserve: f64,
 }
 
@@ -75,6 +77,7 @@
         DEFAULT_SHARES.iter().map(|(name, _)| *name)
     }
 
+    /// The share of a purpose by its name in the operator's file; `None` if there is no such purpose.
     pub fn get(&self, name: &str) -> Option<Share> {
         self.rows.iter().find(|(n, _)| *n == name).map(|(_, share)| *share)
     }
@@ -108,8 +111,9 @@
 pub struct ProcessLimits {
     /// Its memory limit.
     pub memory_bytes: usize,
-    /// Maximum number of client connections, and of node connections.
+    /// Maximum number of client connections.
     pub max_clients: usize,
+    /// Maximum number of node connections.
     pub max_node_connections: usize,
     /// Number of path groups.
     pub path_groups: usize,
@@ -121,6 +125,7 @@
     /// The cap or reserve of this purpose is not a fraction from 0 to 1.
     NotAFraction(&'static str),
     ZeroCap(&'static str),
+    /// The reserve of this purpose is greater than its cap.
     ReserveAboveCap(&'static str, Share),
     /// The sum of the reserves, as a fraction.
     ReservesAboveTotal(f64),
@@ -162,6 +167,7 @@
 pub struct Plan {
     /// Maximum number of bytes that all purposes may hold together.
     pub total_bytes: usize,
+    /// In the order of [`Purpose::index`].
     pub accounts: Vec<(Purpose, Account)>,
 }
 
--- a/crates/budget/src/pool.rs
+++ b/crates/budget/src/pool.rs
@@ -54,6 +54,7 @@
         self.lent_bytes = self.accounts.iter().map(Account::borrowed).sum();
     }
 
+    /// The accounts in the order that they were given in; methods of the pool refer to them by index.
     pub fn accounts(&self) -> &[Account] {
         &self.accounts
     }
--- a/crates/budget/src/purpose.rs
+++ b/crates/budget/src/purpose.rs
@@ -113,7 +113,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rule {
     pub overflow: Overflow,
+    /// What is reclaimed at [`Level::Elevated`].
     pub elevated: ReclaimAction,
+    /// What is reclaimed at [`Level::Critical`].
     pub critical: ReclaimAction,
 }
 
--- a/crates/operator/src/ini_settings.rs
+++ b/crates/operator/src/ini_settings.rs
@@ -12,8 +12,10 @@
 /// The value in effect for one key, with its origin, as shown to operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EffectiveSetting {
+    /// Name of the section without its brackets.
     pub section: String,
     pub key: String,
+    /// In the file's notation, such as `60s` or `25%`.
     pub value: String,
     /// Line of the file that sets the value, counted from 1; `None` for a default.
     pub line: Option<usize>,
--- a/crates/site/src/lib.rs
+++ b/crates/site/src/lib.rs
@@ -182,8 +182,11 @@
     pub groups: Vec<NamedPathGroup>,
     /// Longest retry-after that bounced clients obey; zero if they are sent none.
     pub max_retry_after: Span,
+    /// Empty if the site has no tenants.
     pub tenants: Vec<String>,
+    /// Empty if the site has no zones.
     pub zones: Vec<String>,
+    /// Kinds of nodes.
     pub kinds: Vec<String>,
 }
 
--- a/crates/store/src/slots.rs
+++ b/crates/store/src/slots.rs
@@ -56,6 +56,7 @@
         }
     }
 
+    /// The value of a key; `None` once it is removed, even if its slot holds another value.
     pub fn get(&self, key: u32) -> Option<&T> {
         if self.slots.is_empty() {
             return None;
@@ -71,6 +72,7 @@
         self.slots[slot].as_mut().filter(|(occupant, _)| *occupant == key).map(|(_, value)| value)
     }
 
+    /// Removes and returns the value of a key; `None` if it was removed before.
     pub fn remove(&mut self, key: u32) -> Option<T> {
         if self.slots.is_empty() {
             return None;
--- a/crates/store/src/wheel.rs
+++ b/crates/store/src/wheel.rs
@@ -59,6 +59,7 @@
 }
 
 impl<T> TimerWheel<T> {
+    /// An empty wheel, with `now` in its current tick.
     pub fn new(now: Time) -> Self {
         TimerWheel {
             entries: Vec::new(),
--- a/src/host.rs
+++ b/src/host.rs
@@ -44,38 +44,56 @@
 /// A vote on the build on trial: advance it, hold the clock, or send it back.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Verdict {
+    /// No vote; cast, it withdraws an earlier one.
     #[default]
     None,
+    /// Advance the build to its next stage; cast where votes advance the stages.
     On,
+    /// Hold the clock; cast where a clock advances the stages.
     Hold,
+    /// Return to the earlier build.
     Back,
 }
 
 /// What a node is and where it runs, as indices; `weight` compares its capacity with that of other nodes.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct NodeAttributes {
+    /// 255 for a zone that the settings don't name.
     pub zone: u8,
+    /// Kind of machine; all kinds that the settings don't name share one index.
     pub kind: u16,
+    /// Nodes of one cell drop each other's repeats of a tagged hit where `DedupScope::Cell` applies.
     pub cell: u16,
+    /// 1 for a node that is listed without one.
     pub weight: f32,
 }
 
-/// How a forward ended. `Rejected`, `Unreached` and `Unsent` prove that it never ran.
+/// How a forward ended. `Rejected`, `Unreached` and `Unsent` prove that it never ran. Also tells how the call
+/// that cast a vote ended: after `TimedOut` the vote may stand, after all others but `Ok` it does not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ForwardOutcome {
+    /// The node answered with a value.
     Ok,
+    /// The node answered that it failed; the hit may have taken effect.
     Error,
+    /// The node refused the hit without running it.
     Rejected,
+    /// Sent in full, but not answered within the timeout.
     TimedOut,
+    /// Not sent in full, since the connection failed or the time was up.
     Unreached,
+    /// Sent in full, but the connection ended without a valid answer.
     Reset,
+    /// Cancelled by the marshal after it was sent in full.
     Cancelled,
+    /// Dropped before it was sent: cancelled, its node left the list, or there was no room for a connection.
     Unsent,
 }
 
 /// Whether a listed node takes forwards: none once it is gone, no new ones while it drains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Readiness {
+    /// Listed as removed, or left out of a full list.
     Gone,
     Ready,
     Draining,
@@ -84,17 +102,24 @@
 /// What a node list contains: changes only, all nodes, or all nodes from a cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListUpdate {
+    /// A node without an entry stays as it is.
     Delta,
+    /// A node without an entry is gone.
     Full,
+    /// Applied like `Full`; the nodes that are known at startup are passed this way.
     Cached,
 }
 
 /// Where a build stands with the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BuildStatus {
+    /// Its traffic is limited to the cap of its stage.
     OnTrial,
+    /// The return to the earlier build is under way.
     GoingBack,
+    /// Its traffic is no longer limited.
     Released,
+    /// The return to the earlier build is complete.
     Withdrawn,
 }
 
--- a/src/index.rs
+++ b/src/index.rs
@@ -31,10 +31,12 @@
         index
     }
 
+    /// The index of an id; `None` if none is assigned.
     pub fn get(&self, id: K) -> Option<usize> {
         self.indices.get(&id).copied()
     }
 
+    /// Frees the index of an id; an id without one is ignored.
     pub fn remove(&mut self, id: K) {
         if let Some(index) = self.indices.remove(&id) {
             self.free.push(index);
--- a/src/outcomes.rs
+++ b/src/outcomes.rs
@@ -11,9 +11,9 @@
     pub bad: f64,
     /// Of those, failed.
     pub failed: f64,
-    /// Answers of warm nodes and forwards to them that ended late without one, and the sum of their
-    /// slowdowns: latency ratio over the usual one, bounded for each.
+    /// Answers of warm nodes, and forwards to them that ended late without one.
     pub timed: f64,
+    /// Sum of their slowdowns: latency ratio over the usual one of the node's kind, bounded for each.
     pub slowdown_sum: f64,
 }
 
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -7,8 +7,11 @@
 /// Which nodes together drop repeats of a tagged hit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupScope {
+    /// All nodes, so that a bounce is safe even if a forward ran.
     All,
+    /// Nodes of the same zone.
     Zone,
+    /// Nodes of the same cell, whatever their zones.
     Cell,
 }
 
@@ -26,8 +29,12 @@
 /// Whether a hit may run more than once. Nodes drop repeats of a tagged hit for `dedup_window`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
+    /// It may run any number of times.
     Repeatable,
+    /// It may be sent again to nodes in the `scope` of every earlier forward that may have run, until
+    /// `dedup_window` after that one was sent.
     Tagged { scope: DedupScope, dedup_window: Span },
+    /// It must not run twice: it is sent again only if no earlier forward can have run.
     Mutating,
 }
 
@@ -65,7 +72,9 @@
 /// Each tenant's share of the traffic, and the factor on the value of hits past it.
 #[derive(Clone, Debug, Default)]
 pub struct Tenancy {
+    /// Share of the traffic, 0 to 1, by the tenant's index.
     pub shares: Vec<f64>,
+    /// Factor on the value of a hit past its tenant's share.
     pub over_share_factor: f64,
 }
 
@@ -97,6 +106,7 @@
 pub struct VotingRules {
     /// This marshal's number, from zero.
     pub marshal_index: usize,
+    /// Number of marshals, this one included.
     pub marshal_count: usize,
     pub control: StageControl,
     /// Marshals whose votes the strictest of the verdicts needs.
@@ -135,6 +145,7 @@
 pub struct WarmUp {
     /// Share of its capacity that a node has at its start; it rises linearly to 1.
     pub initial_share: f64,
+    /// Time from a node's listed start until it has its full capacity.
     pub duration: Span,
     /// Multiple of its present capacity at which a cold node fails.
     pub overload_multiple: f64,
--- a/src/state.rs
+++ b/src/state.rs
@@ -19,14 +19,18 @@
     Waiting,
     /// At least one forward in flight.
     Forwarded,
+    /// Answered with a node's value.
     Delivered,
+    /// Answered with a bounce: a retry by the client is harmless.
     Bounced,
+    /// Answered with an error: it may have taken effect, so a retry is not safe.
     Errored,
     /// The client left, or was answered by other means.
     Closed,
 }
 
 impl HitState {
+    /// The hit is answered or its client is gone: it is not forwarded again.
     pub fn is_final(self) -> bool {
         !matches!(self, HitState::Waiting | HitState::Forwarded)
     }
@@ -52,6 +56,8 @@
 }
 
 impl Timer {
+    /// The token for `Host::set_timer`: the kind of timer in the bits from 48 up, the hop in those from 32,
+    /// and the hit's id in the lowest 32.
     pub fn token(self) -> u64 {
         match self {
             Timer::Evaluate => 0,
@@ -77,8 +83,11 @@
 /// first forward takes long.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum ForwardReason {
+    /// Costs nothing of the retry budget.
     First,
+    /// Costs 1 of the retry budget.
     Retry,
+    /// Costs 1 to 5 of the retry budget: the less, the higher the share of lost answers.
     Hedge,
 }
 
@@ -87,17 +96,21 @@
 pub struct Forward {
     /// Index of the node in `Nodes::rows`.
     pub node: usize,
+    /// The node's attributes when the forward was sent.
     pub attributes: NodeAttributes,
+    /// The node's build when the forward was sent.
     pub build: u16,
     pub sent_at: Time,
     /// This marshal's open forwards at the node when this one was sent.
     pub node_load: f64,
     /// Sent to test a node in spite of its error score.
     pub probe: bool,
+    /// `None` while it is in flight.
     pub outcome: Option<ForwardOutcome>,
 }
 
 impl Forward {
+    /// Its outcome proves that it had no effect; false while it is in flight.
     pub fn never_ran(&self) -> bool {
         matches!(
             self.outcome,
@@ -124,10 +137,12 @@
     /// where not all do.
     pub ring_point: f64,
     pub state: HitState,
+    /// In the order of sending; a forward's index is its `hop` in calls to the host.
     pub forwards: Vec<Forward>,
 }
 
 impl Hit {
+    /// A hit that waits for its first forward.
     pub fn new(
         id: u32, group: usize, key: u64, received_at: Time, deadline: Time, work_seconds: f64, value: f64,
         ring_point: f64,
@@ -152,16 +167,20 @@
     pub started_at: Time,
     /// This marshal's forwards to it that have not ended yet.
     pub open_forwards: u32,
-    /// Exponentially weighted moving averages of answer time over expected work, and of the open forwards
-    /// that the node had when it got the forward; and when both were last updated.
+    /// Exponentially weighted moving average of answer time over expected work.
     pub latency_ratio: f64,
+    /// Exponentially weighted moving average of the open forwards that the node had when it got a forward.
     pub usual_load: f64,
+    /// When `latency_ratio` and `usual_load` were last updated.
     pub latency_updated_at: Time,
     /// Recent failures, 0 to 1, as of `error_score_updated_at`; decays with time.
     pub error_score: f64,
+    /// When an outcome last updated `error_score`.
     pub error_score_updated_at: Time,
-    /// Sending time of the first forward since the node was last heard, and how many were sent since.
+    /// Sending time of the first forward since the node was last heard, or the time when it was heard if
+    /// other forwards were open then; `None` if neither applies.
     pub unanswered_since: Option<Time>,
+    /// Forwards sent since the node was last heard.
     pub sent_since_heard: u32,
     /// Sending time of the newest forward that it answered.
     pub answered_sent_at: Time,
@@ -169,8 +188,9 @@
     pub silence_deadline: Time,
     /// When it was last probed in spite of its error score.
     pub probed_at: Time,
-    /// Its fair share of this marshal's hits, and where that starts on the ring of all shares.
+    /// Its fair share of this marshal's hits, 0 to 1.
     pub traffic_share: f64,
+    /// Where its share starts on the ring of all shares.
     pub ring_start: f64,
 }
 
@@ -249,13 +269,16 @@
 /// The nodes that lists have named, by their index.
 #[derive(Default)]
 pub struct Nodes {
+    /// Nodes by index. The row of a forgotten node stays until its index is assigned to another one.
     pub rows: Vec<Node>,
+    /// The row of each node by its id.
     pub index: IdIndex<u64>,
     /// Which rows the full list that is being received has named.
     named: Option<Vec<bool>>,
 }
 
 impl Nodes {
+    /// The nodes that take new forwards, of all builds.
     pub fn ready(&self) -> impl Iterator<Item = &Node> {
         self.rows.iter().filter(|n| n.readiness == Readiness::Ready)
     }
@@ -325,6 +348,7 @@
 }
 
 impl Hits {
+    /// Stores a hit and returns its slot, which is its own until `release` frees it.
     pub fn insert(&mut self, hit: Hit) -> usize {
         let slot = self.slots.insert(hit.id);
         if slot < self.rows.len() {
@@ -335,6 +359,7 @@
         slot
     }
 
+    /// The slot of a hit by its id; `None` once it is released.
     pub fn slot_of(&self, id: u32) -> Option<usize> {
         self.slots.get(id)
     }
@@ -379,6 +404,7 @@
 
 /// What is needed to handle hits: path groups, the value of hits, the budget for retries.
 pub struct HitHandling {
+    /// Path groups by index, as in `Hit::group`.
     pub groups: Vec<PathGroup>,
     pub tenancy: Tenancy,
     pub limits: SiteLimits,
@@ -411,8 +437,9 @@
     pub seen_on_trial: bool,
     /// How many marshals have a lower hash for this stage; the lowest ones vote.
     pub voter_rank: usize,
-    /// Outcomes in this stage, and good minus bad ones over all stages.
+    /// Outcomes in this stage.
     pub stage_outcomes: f64,
+    /// Good minus bad outcomes over all stages.
     pub net_good_outcomes: f64,
     /// Log odds that it answers wrongly.
     pub wrong_answer_log_odds: f64,
@@ -444,11 +471,14 @@
     pub expected_bad_shares: Vec<f64>,
     /// Moving average of the share of hits that were shed.
     pub shed_share: f64,
+    /// What is recorded of the announced build.
     pub record: BuildRecord,
-    /// The vote that may stand (build, stage, verdict), when it was cast, and whether its reply is still to
-    /// come.
+    /// The vote that may stand: build, stage, verdict.
     pub last_vote: (u16, u8, Verdict),
+    /// When it was cast. If the call times out, this is set to a vote's lifetime ago, so that the vote is
+    /// cast again.
     pub vote_cast_at: Time,
+    /// Its reply is still to come.
     pub vote_pending: bool,
 }
 
@@ -474,12 +504,15 @@
     pub lost_answer_share: f64,
     /// Usual latency ratio of a node, by its kind.
     pub kind_latency_ratios: Vec<f64>,
-    /// The nodes in use, as indices, and how many of a build and zone that may be.
+    /// The nodes in use, as indices into `Nodes::rows`.
     pub subset: Vec<usize>,
+    /// How many nodes of one build and zone the subset may have.
     pub subset_width: usize,
-    /// Hits received in this evaluation interval, intervals so far, and moving average of hits per second.
+    /// Hits received in this evaluation interval.
     pub interval_hits: f64,
+    /// Number of evaluation intervals that have ended.
     pub intervals: f64,
+    /// Moving average of hits per second.
     pub hit_rate: f64,
     /// Hits per second in the long run.
     pub long_run_hit_rate: f64,
--- a/src/time.rs
+++ b/src/time.rs
@@ -27,6 +27,7 @@
         Span(millis * 1_000_000)
     }
 
+    /// Fractions of a nanosecond are cut off; a negative number gives zero.
     pub fn from_seconds(seconds: f64) -> Self {
         Span((seconds * 1e9) as u64)
     }
@@ -45,6 +46,7 @@
     }
 }
 
+/// Saturates at the last point that can be represented.
 impl Add<Span> for Time {
     type Output = Time;
     fn add(self, span: Span) -> Time {
@@ -82,6 +84,7 @@
     }
 }
 
+/// Fractions of a nanosecond are cut off; a negative factor gives zero.
 impl Mul<f64> for Span {
     type Output = Span;
     fn mul(self, factor: f64) -> Span {
