--- a/crates/budget/src/plan.rs
+++ b/crates/budget/src/plan.rs
@@ -137,17 +137,17 @@
             PlanError::NotAFraction(name) => {
                 write!(f, "{name}: cap and reserve must each be from 0 % to 100 %")
             }
-            PlanError::ZeroCap(name) => write!(f, "{name}: a cap of nothing would refuse every hit"),
+            PlanError::ZeroCap(name) => write!(f, "{name}: a cap of 0 % would refuse every allocation"),
             PlanError::ReserveAboveCap(name, share) => {
                 let (reserve, cap) = (share.reserve * 100.0, share.cap * 100.0);
-                write!(f, "{name}: a reserve of {reserve:.0} % is over the cap of {cap:.0} %")
+                write!(f, "{name}: a reserve of {reserve:.0} % exceeds the cap of {cap:.0} %")
             }
             PlanError::ReservesAboveTotal(sum) => {
-                write!(f, "the reserves come to {:.0} %, over 100 %", sum * 100.0)
+                write!(f, "the reserves add up to {:.0} %, more than 100 %", sum * 100.0)
             }
             PlanError::InsufficientMemory { missing_bytes, limit_bytes } => write!(
                 f,
-                "{} MiB are too little for this number of descriptors and path groups: {} KiB are missing",
+                "{} MiB is not enough for this number of descriptors and path groups: {} KiB are missing",
                 limit_bytes / MIB,
                 missing_bytes.div_ceil(KIB)
             ),
--- a/crates/lab/tests/evaluation.rs
+++ b/crates/lab/tests/evaluation.rs
@@ -222,8 +222,8 @@
 #[case("[soak]\nrate = fast", "line 2: [soak] rate = 'fast' is not a number")]
 #[case("[soak]\ntroubles = calm, plague", "names an unknown trouble 'plague'")]
 #[case("[soak]\nphase = 0", "must be greater than zero")]
-#[case("[soak]\nphases = 3", "[soak] phases is no key here")]
-#[case("[tolerance]\nunaccounted = 15", "is not a part such as 25%")]
+#[case("[soak]\nphases = 3", "[soak] phases is an unknown key")]
+#[case("[tolerance]\nunaccounted = 15", "is not a percentage such as 25%")]
 fn invalid_scenario_is_rejected_with_a_one_line_error(#[case] text: &str, #[case] message: &str) {
     let error = IniSettings::parse("s.ini", text).and_then(Scenario::from_settings).unwrap_err();
     assert!(error.contains(message) && error.lines().count() == 1, "{error}");
--- a/crates/marshal/src/core.rs
+++ b/crates/marshal/src/core.rs
@@ -369,7 +369,7 @@
             self.marshal.on_list_entry(number as u64, attributes, readiness, build, started_at);
         }
         if left_out > 0 {
-            warn!("{left_out} nodes of the list are left out: there is no room for their records");
+            warn!("{left_out} nodes of the list are left out: no room for their records");
         }
         if update != ListUpdate::Delta {
             self.host.nodes.remove_unlisted(&listed);
--- a/crates/marshal/src/discovery.rs
+++ b/crates/marshal/src/discovery.rs
@@ -62,7 +62,7 @@
     /// Converts one entry of the list. An error names the faulty key.
     fn parse_entry(&self, server: &Server) -> Result<NodeEntry, String> {
         let index_of = |names: &[String], name: &str| names.iter().position(|n| n == name);
-        let addr = server.addr.parse().map_err(|_| "addr is not an address and a port")?;
+        let addr = server.addr.parse().map_err(|_| "addr is not an IP address and port")?;
         let readiness = match &*server.state {
             "up" => Readiness::Ready,
             "draining" => Readiness::Draining,
@@ -258,7 +258,11 @@
             if finished {
                 let complete = response.is_complete() || response.is_close_delimited();
                 let is_watch = self.path.contains("follow");
-                return if complete && !is_watch { Ok(()) } else { Err("closed by discovery".into()) };
+                return if complete && !is_watch {
+                    Ok(())
+                } else {
+                    Err("connection closed by discovery".into())
+                };
             }
         }
     }
--- a/crates/marshal/src/platform.rs
+++ b/crates/marshal/src/platform.rs
@@ -199,7 +199,7 @@
                     None => endpoint.signal.wait().await,
                 }
                 if endpoint.retired.get() {
-                    return Err(std::io::Error::other("the platform has moved"));
+                    return Err(std::io::Error::other("the platform's address changed"));
                 }
                 self.expire_votes(endpoint, &ConnectionState::new(&self.ledger));
             }
@@ -263,7 +263,7 @@
             let is_own =
                 |vote: &PendingVote| vote.assigned.is_some_and(|(number, _)| number == endpoint.number);
             if endpoint.retired.get() && !self.votes.borrow().iter().any(is_own) {
-                return "the platform has moved".into();
+                return "the platform's address changed".into();
             }
             self.queue_votes(endpoint, connection);
             if let Err(e) = connection.flush(stream) {
@@ -284,7 +284,7 @@
                 }
                 Wakeup::Readable => match read_available(stream, &mut scratch) {
                     Ok(None) => {}
-                    Ok(Some([])) => return "closed by the platform".into(),
+                    Ok(Some([])) => return "connection closed by the platform".into(),
                     Ok(Some(bytes)) => {
                         lines.feed(bytes);
                         if charge.resize(lines.allocated_bytes() + line.capacity()).is_err() {
--- a/crates/marshal/src/serve.rs
+++ b/crates/marshal/src/serve.rs
@@ -183,7 +183,9 @@
     let accepting = executor.spawn(clients.clone().accept(listener, executor.clone()));
     let until_shutdown = async move {
         wait_for_signal(&shutdown_signals).await;
-        info!("told to end: serving on for {SHUTDOWN_ACCEPT_PERIOD:?}, then until all is answered");
+        info!(
+            "shutdown requested: serving for another {SHUTDOWN_ACCEPT_PERIOD:?}, then until every hit is answered"
+        );
         Timer::after(SHUTDOWN_ACCEPT_PERIOD).await;
         accepting.cancel().await;
         clients.close_when_idle();
@@ -193,7 +195,7 @@
             }
         };
         or(all_closed, wait_for_signal(&shutdown_signals)).await;
-        info!("ended, {} client connections left", clients.count());
+        info!("stopped, {} client connections left", clients.count());
     };
     reactor::run(&executor, until_shutdown).map_err(|e| format!("waiting for sockets: {e}"))
 }
@@ -222,20 +224,17 @@
         {
             Ok(loaded) => loaded,
             Err(error) => {
-                error!("told to read the configuration again: it is faulty, the one before stays: {error}");
+                error!("configuration reload failed, keeping the previous configuration: {error}");
                 continue;
             }
         };
-        info!(
-            "told to read the configuration again: discovery {}, platform {}",
-            new_addresses.0, new_addresses.1
-        );
+        info!("configuration reloaded: discovery {}, platform {}", new_addresses.0, new_addresses.1);
         let mut changed_keys = startup::changed_keys(&loaded.root, &running_root);
         if loaded.operator.log.format != operator.log.format {
             changed_keys.push("[log] format".into());
         }
         if !changed_keys.is_empty() {
-            warn!("changed, and needing a new start: {}", changed_keys.join(", "));
+            warn!("changed keys that need a restart: {}", changed_keys.join(", "));
         }
         if loaded.operator != operator {
             info!("the operator's settings changed");
@@ -246,7 +245,7 @@
                 running_root.pointer("/settings/classes").and_then(Value::as_array).map_or(1, Vec::len);
             match startup::memory_plan(&running_root, group_count, &loaded.operator.memory.shares) {
                 Ok(plan) => targets.ledger.apply_plan(&plan),
-                Err(error) => error!("memory shares stay unchanged: {error}"),
+                Err(error) => error!("keeping the previous memory shares: {error}"),
             }
             operator = loaded.operator;
         }
--- a/crates/marshal/src/startup.rs
+++ b/crates/marshal/src/startup.rs
@@ -28,7 +28,7 @@
 /// Path of the configuration, from the command line or else from NODE_CONFIG.
 pub fn config_path(file: Option<PathBuf>) -> Result<PathBuf, String> {
     let path = file.or_else(|| env_var("NODE_CONFIG").map(PathBuf::from));
-    Ok(path.ok_or("NODE_CONFIG is not set, and no --config was given")?)
+    Ok(path.ok_or("NODE_CONFIG is not set and --config was not given")?)
 }
 
 /// Reads the configuration file, which holds one JSON object.
@@ -36,7 +36,11 @@
     let text = std::fs::read(path).map_err(|e| format!("NODE_CONFIG: {}: {e}", path.display()))?;
     let root: Value = serde_json::from_slice(&text)
         .map_err(|e| format!("NODE_CONFIG: {}: not JSON: {e}", path.display()))?;
-    if root.is_object() { Ok(root) } else { Err(format!("NODE_CONFIG: {}: not an object", path.display())) }
+    if root.is_object() {
+        Ok(root)
+    } else {
+        Err(format!("NODE_CONFIG: {}: not a JSON object", path.display()))
+    }
 }
 
 /// Reads an address and port from the environment variable `name`, or else from `key` of `root`; `prefix` precedes the
@@ -46,7 +50,7 @@
         Some(text) => (name.to_owned(), text),
         None => (format!("{prefix}{key}"), ConfigObject(root, prefix).string(key)?.to_owned()),
     };
-    text.parse().map_err(|_| format!("{source} is not an address and a port: '{text}'"))
+    text.parse().map_err(|_| format!("{source} is not an IP address and port: '{text}'"))
 }
 
 /// Name, address to listen on, and address of discovery.
@@ -88,7 +92,7 @@
 pub fn seed(root: &Value) -> Result<u64, String> {
     let text = ConfigObject(root, "").string("seed")?;
     u64::from_str_radix(text, 16)
-        .map_err(|_| format!("seed is not a number of up to 16 hex digits: '{text}'"))
+        .map_err(|_| format!("seed is not a hexadecimal number of up to 16 digits: '{text}'"))
 }
 
 /// The maximum number of client connections with the number above which idle ones are closed, the maximum number of
--- a/crates/marshal/tests/memory.rs
+++ b/crates/marshal/tests/memory.rs
@@ -319,11 +319,14 @@
     let (world, path) = world_with_operator_file("[memory]\nreport_every = 0\n");
     std::fs::write(&path, "[memory]\nreport_every = 250ms\n[memory.hats]\ncap = 1%\n").unwrap();
     world.program.signal("HUP");
-    let line = world.program.wait_for_log_line("it is faulty", TEST_TIMEOUT).unwrap();
-    assert!(line.contains("[memory.hats] is no section here") && line.contains("line 3"), "{line}");
+    let line = world
+        .program
+        .wait_for_log_line("configuration reload failed, keeping the previous configuration", TEST_TIMEOUT)
+        .unwrap();
+    assert!(line.contains("[memory.hats] is an unknown section") && line.contains("line 3"), "{line}");
     std::fs::write(&path, "[memory]\nreport_every = 250ms\n[log]\nformat = json\n").unwrap();
     world.program.signal("HUP");
-    let line = world.program.wait_for_log_line("needing a new start", TEST_TIMEOUT).unwrap();
+    let line = world.program.wait_for_log_line("changed keys that need a restart", TEST_TIMEOUT).unwrap();
     assert!(line.contains("[log] format"), "{line}");
     world.program.wait_for_log_line("memory by purpose", TEST_TIMEOUT).unwrap();
 }
--- a/crates/marshal/tests/sockets.rs
+++ b/crates/marshal/tests/sockets.rs
@@ -524,15 +524,15 @@
     config["seed"] = json!("8");
     let text = config.to_string();
     // Reloading the same file twice has the same effect as once.
-    marshal.reload_config(&text, "read the configuration again");
-    let restart = marshal.reload_config(&text, "needing a new start");
-    assert!(restart.ends_with("needing a new start: seed"), "{restart}");
+    marshal.reload_config(&text, "configuration reloaded");
+    let restart = marshal.reload_config(&text, "changed keys that need a restart");
+    assert!(restart.ends_with("changed keys that need a restart: seed"), "{restart}");
     assert_eq!(
         next_within(&new_discovery.requested_paths, TEST_TIMEOUT).unwrap(),
         "/v1/endpoints?follow=1&since=2"
     );
     assert!(next_within(&new_platform.received, TEST_TIMEOUT).unwrap().contains("\"subscribe\""));
-    marshal.wait_for_log("the platform has moved");
+    marshal.wait_for_log("the platform's address changed");
     // Until the new discovery has delivered a list, changes from the old one still apply.
     marshal.discovery.publish([entry(0, &node, "draining")]);
     let mut client = marshal.client();
@@ -543,13 +543,13 @@
     while client.submit() != SERVED_REPLY {}
     marshal.program.signal("TERM");
     marshal.program.signal("HUP");
-    marshal.wait_for_log("told to end");
+    marshal.wait_for_log("shutdown requested");
 }
 
 #[rstest]
 #[case::not_json("{", "not JSON")]
-#[case::no_platform("platform", "platform.address is not an address")]
-#[case::no_discovery("discovery", "discovery is not an address")]
+#[case::no_platform("platform", "platform.address is not an IP address and port")]
+#[case::no_discovery("discovery", "discovery is not an IP address and port")]
 fn a_faulty_reloaded_configuration_is_reported_in_one_line_and_not_applied(
     #[case] change: &str, #[case] error: &str,
 ) {
@@ -561,7 +561,7 @@
         key => config[key] = json!("nowhere"),
     }
     let text = if change == "{" { change.to_owned() } else { config.to_string() };
-    let line = marshal.reload_config(&text, "told to read the configuration again");
+    let line = marshal.reload_config(&text, "configuration reload failed");
     assert!(line.contains("error serve: ") && line.contains(error), "{line}");
     assert_eq!(marshal.client().submit(), SERVED_REPLY);
 }
@@ -578,9 +578,9 @@
 #[rstest]
 #[case("seed", json!("xyz"), "seed is not")]
 #[case("seed", Value::Null, "seed is missing")]
-#[case("listen", json!("here"), "listen is not an address")]
+#[case("listen", json!("here"), "listen is not an IP address and port")]
 #[case("limits", json!({"sockets": 1024}), "limits.memory_mb is missing")]
-#[case("limits", json!({"sockets": 1024, "memory_mb": 4}), "limits.memory_mb: 4 MiB are too little")]
+#[case("limits", json!({"sockets": 1024, "memory_mb": 4}), "limits.memory_mb: 4 MiB is not enough")]
 #[case("limits", json!({"sockets": 256, "memory_mb": 2}), "KiB are missing")]
 #[case("platform", json!({"address": "127.0.0.1:1"}), "platform.news is missing")]
 #[case("platform", json!({"address": "127.0.0.1:1", "news": {"build": 4}}), "platform.news: stage is not")]
--- a/crates/operator/src/ini_settings.rs
+++ b/crates/operator/src/ini_settings.rs
@@ -45,7 +45,7 @@
         let size = std::fs::metadata(path).map_err(|e| format!("{name}: {e}"))?.len();
         if size > MAX_FILE_BYTES {
             return Err(format!(
-                "{name}: {size} bytes, more than the {MAX_FILE_BYTES} allowed for a settings file"
+                "{name}: file size of {size} bytes exceeds the limit of {MAX_FILE_BYTES} bytes"
             ));
         }
         let text = std::fs::read_to_string(path).map_err(|e| format!("{name}: {e}"))?;
@@ -65,7 +65,7 @@
                 let line = find_key(text, section, key);
                 if settings.entries.iter().any(|entry| (entry.0.as_str(), entry.1.as_str()) == (section, key))
                 {
-                    return Err(settings.error_message(section, Some(key), "is set twice"));
+                    return Err(settings.error_message(section, Some(key), "is a duplicate key"));
                 }
                 settings.entries.push((section.to_owned(), key.to_owned(), value.trim().to_owned(), line));
             }
@@ -119,7 +119,7 @@
         let is_known = |section: &str| self.effective.iter().any(|setting| setting.section == section);
         if let Some((section, _)) = self.sections.iter().find(|(section, _)| !is_known(section)) {
             let names: Vec<_> = self.effective.iter().map(|setting| setting.section.as_str()).collect();
-            let reason = format!("is no section here{}", known_names(&names));
+            let reason = format!("is an unknown section{}", known_names(&names));
             return Err(self.error_message(section, None, &reason));
         }
         if let Some(index) = self.taken.iter().position(|taken| !taken) {
@@ -133,7 +133,7 @@
             return Err(self.error_message(
                 section,
                 Some(key),
-                &format!("is no key here{}", known_names(&keys)),
+                &format!("is an unknown key{}", known_names(&keys)),
             ));
         }
         Ok(self.effective)
@@ -174,11 +174,11 @@
     if text == "0" || text == "never" {
         return Ok(Span::ZERO);
     }
-    let duration =
-        humantime::parse_duration(text).map_err(|e| format!("is not a span such as 60s or 250ms: {e}"))?;
+    let duration = humantime::parse_duration(text)
+        .map_err(|e| format!("is not a duration such as 60s or 250ms: {e}"))?;
     let max = Duration::from_secs(366 * 86_400);
     if duration > max {
-        return Err("is longer than a year".into());
+        return Err("is longer than 366 days".into());
     }
     Ok(Span::nanos(duration.as_nanos() as u64))
 }
@@ -192,5 +192,5 @@
 pub fn parse_percentage(text: &str) -> Result<f64, String> {
     let number = text.strip_suffix('%').and_then(|t| t.trim().parse::<f64>().ok());
     let number = number.filter(|n| (0.0..=100.0).contains(n));
-    number.map(|n| n / 100.0).ok_or_else(|| "is not a part such as 25%, from 0% to 100%".into())
+    number.map(|n| n / 100.0).ok_or_else(|| "is not a percentage such as 25%, from 0% to 100%".into())
 }
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -127,11 +127,11 @@
     match text {
         "text" => Ok(LogFormat::Text),
         "json" => Ok(LogFormat::Json),
-        _ => Err("is neither 'text' nor 'json'".into()),
+        _ => Err("is not one of 'text' and 'json'".into()),
     }
 }
 
 fn parse_lines_per_second(text: &str) -> Result<u32, String> {
     let lines = text.parse().ok().filter(|n| (1..=100_000).contains(n));
-    lines.ok_or_else(|| "is not a number of lines from 1 to 100000".into())
+    lines.ok_or_else(|| "is not an integer from 1 to 100000".into())
 }
--- a/crates/operator/tests/files.rs
+++ b/crates/operator/tests/files.rs
@@ -39,41 +39,47 @@
 #[rstest]
 #[case::unknown_section(
     "[memory.hats]\ncap = 1%",
-    "op.ini: line 1: [memory.hats] is no section here; known: log, memory"
+    "op.ini: line 1: [memory.hats] is an unknown section; known: log, memory"
 )]
 #[case::unknown_key(
     "[log]\ncolour = red",
-    "op.ini: line 2: [log] colour is no key here; known: format, lines_per_second"
+    "op.ini: line 2: [log] colour is an unknown key; known: format, lines_per_second"
+)]
+#[case::key_outside_sections("cap = 5%", "[] is an unknown section")]
+#[case::duplicate_key(
+    "[log]\nformat = text\nformat = json",
+    "op.ini: line 3: [log] format is a duplicate key"
 )]
-#[case::key_outside_sections("cap = 5%", "[] is no section here")]
-#[case::duplicate_key("[log]\nformat = text\nformat = json", "op.ini: line 3: [log] format is set twice")]
 #[case::unknown_format(
     "[log]\nformat = xml",
-    "op.ini: line 2: [log] format = 'xml' is neither 'text' nor 'json'"
+    "op.ini: line 2: [log] format = 'xml' is not one of 'text' and 'json'"
 )]
 #[case::zero_lines(
     "[log]\nlines_per_second = 0",
-    "line 2: [log] lines_per_second = '0' is not a number of lines"
+    "line 2: [log] lines_per_second = '0' is not an integer from 1 to 100000"
 )]
 #[case::not_a_duration(
     "[memory]\nreport_every = soon",
-    "line 2: [memory] report_every = 'soon' is not a span"
+    "line 2: [memory] report_every = 'soon' is not a duration such as"
+)]
+#[case::duration_over_a_year("[memory]\nreport_every = 5000days", "longer than 366 days")]
+#[case::cap_over_100_percent(
+    "[memory.work]\ncap = 120%",
+    "line 2: [memory.work] cap = '120%' is not a percentage"
 )]
-#[case::duration_over_a_year("[memory]\nreport_every = 5000days", "longer than a year")]
-#[case::cap_over_100_percent("[memory.work]\ncap = 120%", "line 2: [memory.work] cap = '120%' is not a part")]
-#[case::missing_percent_sign("[memory.work]\ncap = 0.5", "is not a part such as 25%")]
+#[case::missing_percent_sign("[memory.work]\ncap = 0.5", "is not a percentage such as 25%")]
 #[case::negative_reserve(
     "[memory.owed]\nreserve = -5%",
-    "line 2: [memory.owed] reserve = '-5%' is not a part"
+    "line 2: [memory.owed] reserve = '-5%' is not a percentage"
 )]
-#[case::zero_cap("[memory.work]\ncap = 0%\nreserve = 0%", "line 1: [memory.work] work: a cap of nothing")]
+#[case::zero_cap("[memory.work]\ncap = 0%\nreserve = 0%", "line 1: [memory.work] work: a cap of 0 %")]
 #[case::reserve_over_cap(
     "[memory.owed]\nreserve = 40%",
-    "line 1: [memory.owed] owed: a reserve of 40 % is over the cap of 25 %"
+    "line 1: [memory.owed] owed: a reserve of 40 % exceeds the cap of 25 %"
 )]
 #[case::reserves_over_100_percent(
     "[memory.owed]\ncap = 60%\nreserve = 60%\n[memory.halves]\ncap = 50%\nreserve = 50%",
-    "the reserves come to"
+    "the reserves add up to"
 )]
 #[case::not_ini("[log\nformat", "op.ini: line ")]
 fn faulty_file_is_rejected_with_a_one_line_message(#[case] text: &str, #[case] expected: &str) {
--- a/crates/simhost/tests/wire.rs
+++ b/crates/simhost/tests/wire.rs
@@ -111,7 +111,7 @@
 #[case::record_past_the_batch(batch(&[vec![0xe8, 3, 200, 0, 0, 0]]), "record: fields: needs 200 bytes")]
 #[case::params_not_json(batch(&[spawn("{\"azs\": ")]), "spawn: params: not JSON")]
 #[case::missing_key(batch(&[spawn(&SETTINGS.replace("cold_from", "cold"))]), "rules.cold_from is missing")]
-#[case::wrong_type(batch(&[spawn(&SETTINGS.replace("\"fragile\"", "3"))]), "classes[0].effect is not a text")]
+#[case::wrong_type(batch(&[spawn(&SETTINGS.replace("\"fragile\"", "3"))]), "classes[0].effect is not a string")]
 fn malformed_input_is_reported_in_one_line(#[case] input: Vec<u8>, #[case] expected: &str) {
     let output = run(&input);
     let message = String::from_utf8_lossy(&output.stderr).into_owned();
--- a/crates/site/src/lib.rs
+++ b/crates/site/src/lib.rs
@@ -53,7 +53,7 @@
 
     /// A required string.
     pub fn string(&self, key: &str) -> Result<&'a str, String> {
-        self.required(key)?.as_str().ok_or_else(|| self.type_error(key, "a text"))
+        self.required(key)?.as_str().ok_or_else(|| self.type_error(key, "a string"))
     }
 
     /// A required array.
@@ -192,7 +192,7 @@
     let settings = ConfigObject(root, "");
     let strings = |key: &str| -> Result<Vec<String>, String> {
         let string = |value: &Value| {
-            value.as_str().map(str::to_owned).ok_or_else(|| settings.type_error(key, "a list of texts"))
+            value.as_str().map(str::to_owned).ok_or_else(|| settings.type_error(key, "a list of strings"))
         };
         settings.list(key)?.iter().map(string).collect()
     };
