--- a/crates/capture/src/reassembly.rs
+++ b/crates/capture/src/reassembly.rs
@@ -32,6 +32,7 @@
 /// Output of the reassembly, in stream order.
 #[derive(Debug, PartialEq, Eq)]
 pub enum StreamItem<'a> {
+    /// The next bytes of the stream; they borrow from the segment or from the window.
     Bytes(&'a [u8]),
     /// Number of bytes that are not in the capture.
     Gap(u64),
@@ -40,15 +41,19 @@
 /// Counts of segments and of anomalies among them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SegmentStats {
+    /// Segments processed, also those without a payload.
     pub segments: u64,
     /// Segments without new data, such as retransmissions; includes `keep_alives`.
     pub duplicate_segments: u64,
+    /// Segments that repeat only the byte before the next expected one, as TCP keep-alives do (RFC 9293, section
+    /// 3.8.4). A keep-alive without a payload is not counted.
     pub keep_alives: u64,
     /// Segments that begin past the next expected byte.
     pub out_of_order_segments: u64,
     /// Retransmitted bytes that differ from the first copy, which is the one emitted. Bytes that have been emitted
     /// already are not compared.
     pub conflicting_bytes: u64,
+    /// Gaps that were given up.
     pub gaps: u64,
     /// Total length of the gaps.
     pub missing_bytes: u64,
@@ -77,9 +82,13 @@
 /// A TCP segment of one direction.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Segment<'a> {
+    /// Sequence number of the SYN, if there is one, otherwise of the first byte of the payload.
     pub sequence: u32,
+    /// The SYN comes before the payload and occupies one sequence number.
     pub syn: bool,
+    /// The stream ends with this payload.
     pub fin: bool,
+    /// The connection is reset; the payload is processed first.
     pub rst: bool,
     /// The captured part of the payload.
     pub payload: &'a [u8],
--- a/crates/formats/src/resp.rs
+++ b/crates/formats/src/resp.rs
@@ -13,6 +13,7 @@
 /// Limits for one message.
 #[derive(Clone, Copy, Debug)]
 pub struct MessageLimits {
+    /// Number of elements of an array; a larger count is an error as soon as the array's header has arrived.
     pub max_elements: usize,
     /// Length of the data of a bulk string.
     pub max_bulk_bytes: usize,
@@ -25,11 +26,15 @@
 /// RESP2 type of an element.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ElementKind {
+    /// String with a length prefix, `$`, which may contain any bytes.
     BulkString,
     /// Null bulk string, `$-1`.
     Null,
+    /// Line of text, `+`.
     SimpleString,
+    /// Line of text, `-`.
     Error,
+    /// Line with a number, `:`. The scanner does not check its digits.
     Integer,
 }
 
--- a/crates/lab/src/checker.rs
+++ b/crates/lab/src/checker.rs
@@ -26,20 +26,24 @@
     /// Length of the sliding window over which forwards to a build on trial are counted. Hits received before a cap
     /// rose count with the higher cap.
     pub cap_window: Span,
-    /// Forwards allowed beyond the cap in each window, and the factor by which the cap itself may be exceeded.
+    /// Forwards allowed beyond the cap in each window.
     pub forward_allowance: f64,
+    /// Factor by which the cap itself may be exceeded, 1 or more.
     pub cap_factor: f64,
+    /// Parameters of rule 4.
     pub cold_start: ColdStart,
 }
 
 /// Warm-up of a node that starts cold, and when it counts as overloaded, as in the settings.
 #[derive(Clone, Copy, Debug)]
 pub struct ColdStart {
-    /// Share of its full capacity with which a node starts, and the time over which the share rises linearly to 1.
+    /// Share of its full capacity with which a node starts, 0 to 1.
     pub initial_share: f64,
+    /// Time after the start of a node over which the share rises linearly to 1.
     pub ramp_duration: Span,
-    /// A node is overloaded if it receives more than this multiple of its current capacity for this long.
+    /// A node is overloaded if it receives more than this multiple of its current capacity for `overload_duration`.
     pub overload_factor: f64,
+    /// Time for which the excess must last, in consecutive counting intervals, to be a violation.
     pub overload_duration: Span,
 }
 
@@ -120,16 +124,22 @@
 /// A broken rule, by its number.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Violation {
+    /// Number of the rule in the list at the head of this module, 1 to 5.
     pub rule: u8,
+    /// When the checker found it.
     pub at: Time,
+    /// What was observed, as one line.
     pub message: String,
 }
 
 /// Final outcome of a hit, as its client sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Outcome {
+    /// Answered with its own value.
     Delivered,
+    /// Refused with `-BUSY`; the client may try again.
     Bounced,
+    /// Answered with an error, or with anything else that is not a value.
     Errored,
     /// Delivered with the value of another hit.
     WrongValue,
@@ -140,7 +150,9 @@
 pub struct Request {
     /// Index of the path group.
     pub group: usize,
+    /// Whether the hit may run more than once.
     pub effect: Effect,
+    /// Key by which nodes drop repeats; only hits of a tagged path group have one.
     pub idempotency_key: Option<String>,
     /// Time that the client waits for an answer.
     pub client_timeout: Span,
@@ -207,20 +219,26 @@
     recent_forwards: BTreeMap<u16, VecDeque<Time>>,
     /// When the command with each idempotency key was executed.
     executed_keys: HashMap<String, Time>,
-    /// The first violations, up to `MAX_VIOLATION_TEXTS`, and the number of all.
+    /// The first violations, up to `MAX_VIOLATION_TEXTS`.
     pub violations: Vec<Violation>,
+    /// Number of all violations, also of those that `violations` has no room for.
     pub violation_count: u64,
+    /// Totals since the start; hits that are no longer kept stay counted.
     pub totals: Totals,
 }
 
 /// Numbers of hits, by outcome, and of forwards and executions.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Totals {
+    /// Hits recorded as sent; a retry by the client counts as another hit.
     pub sent: u64,
+    /// Answers with the hit's own value; an answer with the value of another hit counts under no outcome.
     pub delivered: u64,
     pub bounced: u64,
     pub errored: u64,
+    /// Commands that nodes received whole, also those of hits that are not recorded.
     pub forwards: u64,
+    /// Commands that nodes executed; repeats that they dropped do not count.
     pub executions: u64,
     /// Hits that had no answer when the client stopped waiting.
     pub unanswered: u64,
@@ -511,6 +529,7 @@
         SharedChecker(Arc::new(Mutex::new(checker)))
     }
 
+    /// Locks the checker, also after a thread panicked while it held the lock.
     pub fn lock(&self) -> MutexGuard<'_, Checker> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/crates/lab/src/cost.rs
+++ b/crates/lab/src/cost.rs
@@ -16,7 +16,9 @@
 pub struct Measurement {
     /// Counted rounds of each build, besides the warm-up round.
     pub rounds: usize,
+    /// Time for which hits are sent in each round.
     pub round_duration: Duration,
+    /// Rate of the mixed load, without retries.
     pub hits_per_second: f64,
 }
 
@@ -27,6 +29,7 @@
     pub cpu_micros_per_hit: Vec<f64>,
     /// 99th percentile of the latency of hits of the repeatable path group, by round.
     pub p99_micros: Vec<u64>,
+    /// Hits sent in all counted rounds; a hit counts once, whatever the number of its tries.
     pub hits_sent: u64,
     pub hits_delivered: u64,
 }
--- a/crates/lab/src/discovery.rs
+++ b/crates/lab/src/discovery.rs
@@ -18,11 +18,15 @@
 /// A node in the list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
+    /// Id by which the marshal and the checker know the node.
     pub id: String,
+    /// Address at which the node accepts connections.
     pub addr: SocketAddr,
+    /// Name of the zone, one of `azs` in the settings.
     pub zone: String,
     /// `up`, `draining` or `removed`.
     pub state: String,
+    /// Build that the node runs, `image_id` on the wire.
     pub build: u16,
     /// Unix time in milliseconds; 0 if the node started long ago.
     pub started_ms: u64,
@@ -56,6 +60,7 @@
 /// Handle to discovery; clones refer to the same stand-in.
 #[derive(Clone)]
 pub struct Discovery {
+    /// Loopback address at which discovery accepts connections.
     pub addr: SocketAddr,
     inner: Arc<Mutex<Inner>>,
     clock: Clock,
@@ -66,6 +71,7 @@
 }
 
 impl Discovery {
+    /// Starts discovery on a free port of the loopback address, with an empty list.
     pub fn start(runtime: &Runtime, checker: SharedChecker) -> Self {
         let (listener, addr) = runtime.listen();
         let (path_sender, requested_paths) = async_channel::bounded(1024);
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -25,21 +25,27 @@
 pub struct HitKind {
     /// Index of its path group.
     pub group: usize,
+    /// Relative frequency of this kind; the shares of a plan need not add up to 1.
     pub share: f64,
     /// Size of the body, for hits that have one.
     pub body_bytes: usize,
+    /// Time that the command states as its client's wait; a well-behaved client gives up 300 ms after it.
     pub client_timeout: Duration,
 }
 
 /// Parameters of a load.
 #[derive(Clone, Debug)]
 pub struct LoadPlan {
+    /// Mean arrival rate, without retries.
     pub hits_per_second: f64,
+    /// The kinds of hits; each hit's kind is drawn at random by their shares.
     pub kinds: Vec<HitKind>,
     /// Maximum number of connections; while all are in use, further hits wait for one.
     pub max_connections: usize,
     /// Maximum number of tries of a hit that is bounced.
     pub max_tries: u32,
+    /// Seed of arrival times, kinds, marshals and keys. Hit ids are derived from it too, so loads that share a checker
+    /// need different seeds.
     pub seed: u64,
 }
 
@@ -67,13 +73,16 @@
 /// Outcomes of the hits of one path group; a hit counts once, whatever the number of its tries.
 #[derive(Clone, Debug)]
 pub struct GroupStats {
+    /// Hits begun, including those still in flight.
     pub hits: u64,
     pub delivered: u64,
     /// Delivered within the target latency, including retries and the waits between them.
     pub in_time: u64,
-    /// Hits that ended with a bounce, with an error, or without an answer.
+    /// Hits whose last try was bounced.
     pub bounced: u64,
+    /// Hits that ended with an error or with the value of another hit.
     pub errored: u64,
+    /// Hits that ended without an answer: the client gave up, or its connection failed.
     pub unanswered: u64,
     /// Tries of all hits.
     pub tries: u64,
--- a/crates/lab/src/misbehaving.rs
+++ b/crates/lab/src/misbehaving.rs
@@ -34,12 +34,14 @@
 /// A group of misbehaving clients, each with one connection at a time; they stop when this is dropped.
 pub struct MisbehavingClients {
     stopping: Arc<AtomicBool>,
-    /// Hits sent, and answers read, by all of them.
+    /// Hits sent by all of them, including incomplete ones.
     pub sent: Arc<AtomicU64>,
+    /// Answers read by all of them; only `Flood` and `StaysIdle` read any.
     pub answered: Arc<AtomicU64>,
 }
 
 impl MisbehavingClients {
+    /// Starts `count` clients of the marshal at `addr`; their hits are of this path group and kind.
     pub fn start(
         runtime: &Runtime, checker: &SharedChecker, misbehavior: Misbehavior, count: usize, addr: SocketAddr,
         (group, kind): (&PathGroup, &HitKind),
--- a/crates/lab/src/node.rs
+++ b/crates/lab/src/node.rs
@@ -19,13 +19,16 @@
 /// Scripted reply to one command, for tests.
 #[derive(Clone, Debug)]
 pub enum ScriptedReply {
-    /// Sends these bytes unchanged.
+    /// Sends these bytes unchanged. The command does not count as executed, and as rejected if the bytes begin with
+    /// `-BUSY`.
     Send(Vec<u8>),
+    /// Sends these bytes unchanged and closes the connection; the command does not count as executed.
     SendAndClose(Vec<u8>),
     /// Executes the command, and sends these bytes 1 ms after the reply.
     ServeThenSend(Vec<u8>),
     /// Executes the command, but replies only once another command has arrived, on any connection.
     ServeAfterNextCommand,
+    /// Sends no reply to this command, nor to those after it on the same connection.
     NoReply,
 }
 
@@ -52,14 +55,17 @@
 pub struct NodeBehavior {
     /// Commands executed at once.
     pub cores: usize,
-    /// Work of a command: median and sigma of a log-normal distribution.
+    /// Median work of a command, as the time that it occupies a core; the work has a log-normal distribution.
     pub work_median: Duration,
+    /// Standard deviation of the logarithm of the work; at 0 all commands have the median work.
     pub work_sigma: f64,
     /// Size of a value.
     pub value_bytes: usize,
-    /// Shares of the commands, 0 to 1, that get an error, a malformed reply, or the value of another hit.
+    /// Share of the commands, 0 to 1, that get an error.
     pub error_rate: f64,
+    /// Share of the commands, 0 to 1, that get a malformed reply; it applies to all path groups.
     pub malformed_rate: f64,
+    /// Share of the commands, 0 to 1, that get the value of another hit.
     pub wrong_value_rate: f64,
     /// Factor on the work of each command.
     pub work_factor: f64,
@@ -118,7 +124,9 @@
 /// Handle to a node; clones refer to the same node.
 #[derive(Clone)]
 pub struct Node {
+    /// Id of the node in discovery and in the checker's records.
     pub name: String,
+    /// Loopback address at which the node accepts connections.
     pub addr: SocketAddr,
     inner: Arc<Mutex<Inner>>,
     clock: Clock,
@@ -141,6 +149,8 @@
 const MAX_QUEUED_EVENTS: usize = 4096;
 
 impl Node {
+    /// Starts a node on a free port of the loopback address, with `seed` for its random draws. The caller lists it in
+    /// discovery.
     pub fn start(
         runtime: &Runtime, name: &str, seed: u64, behavior: NodeBehavior, checker: SharedChecker,
     ) -> Self {
--- a/crates/lab/src/platform.rs
+++ b/crates/lab/src/platform.rs
@@ -48,8 +48,11 @@
 /// A vote that was accepted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Vote {
+    /// The newest build at the time of the vote; a vote on any other is refused.
     pub build: u64,
+    /// Number of the stage, from 0; also 0 if the vote named none.
     pub stage: u64,
+    /// `go`, `stay` or `stop`, as received; other texts are accepted too.
     pub verdict: String,
 }
 
@@ -68,6 +71,7 @@
 /// Handle to the platform; clones refer to the same platform.
 #[derive(Clone)]
 pub struct Platform {
+    /// Loopback address at which the platform accepts connections.
     pub addr: SocketAddr,
     inner: Arc<Mutex<Inner>>,
     clock: Clock,
@@ -78,6 +82,7 @@
 }
 
 impl Platform {
+    /// Starts the platform on a free port of the loopback address, and reports `status` to the checker.
     pub fn start(runtime: &Runtime, status: BuildStatus, checker: SharedChecker) -> Self {
         let (listener, addr) = runtime.listen();
         let (line_sender, received) = async_channel::bounded(4096);
--- a/crates/lab/src/release.rs
+++ b/crates/lab/src/release.rs
@@ -36,11 +36,13 @@
 /// Plan of a release.
 #[derive(Clone, Debug)]
 pub struct ReleasePlan {
+    /// Number of nodes of the fleet, to which the stage shares apply.
     pub node_count: usize,
     /// Share of the fleet by stage, which is also the stage's cap; the last is 1.
     pub stage_shares: Vec<f64>,
-    /// Time that a node takes to start, and that a stage lasts once its nodes have started.
+    /// Time allowed for nodes to start, before nodes that they replace are drained.
     pub node_start_duration: Duration,
+    /// Time that a stage lasts once its nodes have started; a vote that holds the stage extends it.
     pub stage_duration: Duration,
 }
 
@@ -57,6 +59,7 @@
 }
 
 impl Release {
+    /// A release whose first stage starts at the first poll. `now` and the times of all polls have a common origin.
     pub fn new(plan: ReleasePlan, now: Duration) -> Self {
         Release { plan, state: State::Offered, state_since: now, started: 0, drained: 0 }
     }
--- a/crates/lab/src/runtime.rs
+++ b/crates/lab/src/runtime.rs
@@ -24,6 +24,7 @@
         }
     }
 
+    /// The current Unix time.
     pub fn now(&self) -> Time {
         Time::at((self.unix + self.start.elapsed()).as_nanos() as u64)
     }
@@ -42,6 +43,7 @@
 /// Executor with one thread of its own; dropping it stops the thread.
 pub struct Runtime {
     executor: Arc<Executor<'static>>,
+    /// Clock of all stand-ins, started with the runtime.
     pub clock: Clock,
     /// Closing it stops the thread.
     _shutdown: async_channel::Sender<()>,
@@ -74,6 +76,7 @@
         self.executor.spawn(task)
     }
 
+    /// The executor, for tasks that spawn others.
     pub fn executor(&self) -> Arc<Executor<'static>> {
         self.executor.clone()
     }
--- a/crates/lab/src/site.rs
+++ b/crates/lab/src/site.rs
@@ -9,7 +9,9 @@
 /// A path group, with the settings that clients need to send its hits and judge their answers.
 #[derive(Clone, Debug)]
 pub struct PathGroup {
+    /// Name in the settings and in field `c` of a hit's command.
     pub name: &'static str,
+    /// Whether a hit may run more than once.
     pub effect: Effect,
     /// Target latency.
     pub latency_target: Duration,
@@ -76,6 +78,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     pub memory_mb: usize,
+    /// Open sockets of all kinds; the marshal divides them among clients, nodes and its own needs.
     pub sockets: usize,
 }
 
--- a/crates/lab/src/sizes.rs
+++ b/crates/lab/src/sizes.rs
@@ -31,7 +31,9 @@
     pub item: &'static str,
     /// Number of items that were measured.
     pub count: usize,
+    /// Growth of the marshal's memory per item.
     pub measured_bytes: f64,
+    /// What the memory plan counts for an item.
     pub planned_bytes: f64,
 }
 
--- a/crates/lab/src/soak.rs
+++ b/crates/lab/src/soak.rs
@@ -32,7 +32,9 @@
 pub struct Scenario {
     /// Seed of the load and of the order of the faults.
     pub seed: u64,
+    /// Number of nodes while no release is under way.
     pub node_count: usize,
+    /// Limits stated in the marshal's configuration.
     pub limits: Limits,
     /// Time after which nodes close an idle connection, as stated in the marshal's settings. Connections left open by
     /// a fault must close soon after it; otherwise the order of the faults shows up as noise in the samples that are
@@ -44,6 +46,7 @@
     pub misbehaving_clients_per_phase: usize,
     /// Length of a phase, which has one fault in its first half and none in the second.
     pub phase_length: Duration,
+    /// Number of cycles, including those of the warm-up; each has one phase per fault.
     pub cycles: usize,
     /// Number of cycles at the start that are excluded from the verdict.
     pub warm_up_cycles: usize,
@@ -193,6 +196,7 @@
 /// One row of the report: the trend of a purpose or of a figure of the process.
 #[derive(Clone, Debug)]
 pub struct ReportRow {
+    /// A purpose, or `resident`, `unaccounted` or `descriptors`.
     pub name: String,
     /// Trend of the samples taken without a fault; the maximum is that of the whole run.
     pub trend: Trend,
@@ -205,10 +209,13 @@
 /// Results of a soak test.
 #[derive(Clone, Debug)]
 pub struct Report {
+    /// Rows in the order of their names; there is none for a name with too few samples for a trend.
     pub rows: Vec<ReportRow>,
     /// Unaccounted share of the resident size (0 to 1, mean) and the maximum of unaccounted bytes.
     pub unaccounted_share_and_max_bytes: (f64, f64),
+    /// Maximum resident size after the warm-up cycles.
     pub max_resident_bytes: f64,
+    /// Memory limit of the marshal; a larger resident size misses the tolerances.
     pub memory_limit_bytes: f64,
     /// Results of the well-behaved clients, by path group.
     pub group_stats: Vec<GroupStats>,
@@ -216,6 +223,7 @@
     pub misbehaving_client_hits: u64,
     /// Builds whose release was started, besides the initial one.
     pub builds_offered: u64,
+    /// Length of all phases together, including the warm-up cycles.
     pub duration_seconds: f64,
     /// Processor time of the marshal.
     pub cpu_time: Duration,
--- a/crates/lab/src/wire.rs
+++ b/crates/lab/src/wire.rs
@@ -18,7 +18,9 @@
 pub enum Message {
     /// An array of bulk strings; a null string is empty.
     Array(Vec<Vec<u8>>),
+    /// A bulk string that is not part of an array.
     Bulk(Vec<u8>),
+    /// A null bulk string that is not part of an array.
     Null,
     /// A simple string or an error line, with its leading sign.
     Line(String),
--- a/crates/lab/src/world.rs
+++ b/crates/lab/src/world.rs
@@ -20,12 +20,17 @@
 /// A running site; dropping it stops the marshal and all stand-ins.
 pub struct World {
     // Fields are dropped in this order: the marshal exits before the stand-ins do.
+    /// The marshal.
     pub program: Program,
+    /// The running nodes; [`World::set_node_state`] drops those that it removes.
     pub nodes: Vec<Node>,
     pub discovery: Discovery,
     pub platform: Platform,
+    /// Records what the clients and all stand-ins see, and the violations found in it.
     pub checker: SharedChecker,
+    /// Path groups by index, as [`site::path_groups`] lists them.
     pub path_groups: Vec<PathGroup>,
+    /// Runs all stand-ins and clients.
     pub runtime: Runtime,
     /// Number of nodes started so far; the next node's name is made from it.
     started_nodes: usize,
--- a/crates/marshal/src/client.rs
+++ b/crates/marshal/src/client.rs
@@ -105,6 +105,8 @@
         self.stream.borrow().clone()
     }
 
+    /// When the client last accepted reply bytes or was last offered a reply; at first when the connection was
+    /// accepted.
     pub fn last_activity(&self) -> Time {
         self.last_activity.get()
     }
@@ -219,6 +221,7 @@
         self.signal.raise();
     }
 
+    /// Whether the connection is to be closed at once, without its unsent replies.
     pub fn is_aborted(&self) -> bool {
         self.aborted.get()
     }
@@ -281,6 +284,7 @@
 
 /// All client connections, for evicting some in favour of others.
 pub struct ClientRegistry {
+    /// Ledger to which connections and their replies are charged.
     pub ledger: Ledger,
     pub clock: Clock,
     clients: RefCell<Vec<Weak<Client>>>,
--- a/crates/marshal/src/clients.rs
+++ b/crates/marshal/src/clients.rs
@@ -74,6 +74,8 @@
 }
 
 impl ClientServer {
+    /// Creates a server without connections. `idle_eviction_threshold` is the number of connections that have sent a
+    /// command above which idle ones are closed.
     pub fn new(
         inbox: Rc<Inbox>, registry: Rc<ClientRegistry>, names: WireNames,
         (max_connections, idle_eviction_threshold): (usize, usize),
--- a/crates/marshal/src/clock.rs
+++ b/crates/marshal/src/clock.rs
@@ -18,6 +18,7 @@
         Clock { start: Instant::now(), unix: Time::at(nanos(unix)) }
     }
 
+    /// The current time, in nanoseconds since the Unix epoch.
     pub fn now(&self) -> Time {
         self.unix + Span::nanos(nanos(self.start.elapsed()))
     }
--- a/crates/marshal/src/command.rs
+++ b/crates/marshal/src/command.rs
@@ -39,7 +39,9 @@
 
 /// A hit's command as received; only the stated wait changes between forwards.
 pub struct Command {
+    /// The bytes as received; their memory charge also covers the records of the hit.
     pub block: Block,
+    /// The parsed command, with ranges that refer to `block`.
     pub request: HitRequest,
 }
 
@@ -66,6 +68,7 @@
 
 /// A parsed command.
 pub enum Request {
+    /// A hit, to be forwarded to a node.
     Hit(HitRequest),
     /// A command answered at once, with its reply.
     Immediate(Vec<u8>),
--- a/crates/marshal/src/core.rs
+++ b/crates/marshal/src/core.rs
@@ -81,6 +81,7 @@
 }
 
 impl MarshalHost {
+    /// Creates a host that knows no nodes yet; [`Core::apply_node_list`] adds them.
     pub fn new(
         clock: Clock, ledger: Ledger, inbox: Rc<Inbox>, nodes: NodePool, discovery: Discovery,
         platform: Rc<Platform>,
@@ -256,6 +257,7 @@
 }
 
 impl Core {
+    /// Schedules the first sweep of idle connections and removed nodes.
     pub fn new(marshal: Marshal, mut host: MarshalHost) -> Self {
         host.timers.schedule(host.now, TimerEvent::Sweep);
         Core { marshal, host }
--- a/crates/marshal/src/inbox.rs
+++ b/crates/marshal/src/inbox.rs
@@ -24,9 +24,11 @@
 pub enum ControlEvent {
     /// A node list update, with the memory charge that covers its entries.
     NodeList(ListUpdate, Vec<NodeEntry>, Charge),
+    /// The newest request to discovery failed.
     ListFailed,
     /// State of the newest build; in the response to a vote, with the outcome of that vote.
     Stage(StageReport, Option<ForwardOutcome>),
+    /// The platform's report that this node gave a wrong answer to a hit of the path group, `age` ago.
     WrongAnswerReport {
         node: String,
         group: usize,
@@ -40,6 +42,8 @@
 
 /// Event that concerns hits already accepted.
 pub enum HitEvent {
+    /// A forward ended. `hop` is its index among the forwards of its hit, and `sent` tells whether its last byte was
+    /// written.
     ForwardEnded {
         hit: u32,
         hop: u8,
@@ -64,32 +68,41 @@
 /// The three queues, and the signal that wakes the core task.
 #[derive(Default)]
 pub struct Inbox {
+    /// Processed first in each batch.
     pub control_events: RefCell<VecDeque<ControlEvent>>,
+    /// Processed after the control events.
     pub hit_events: RefCell<VecDeque<HitEvent>>,
+    /// Processed last, after due timers, and a limited number in each batch.
     pub incoming_hits: RefCell<VecDeque<IncomingHit>>,
+    /// Raised whenever an event or a hit is queued.
     pub signal: Signal,
 }
 
 impl Inbox {
+    /// Queues a control event and wakes the core task.
     pub fn push_control_event(&self, event: ControlEvent) {
         self.control_events.borrow_mut().push_back(event);
         self.signal.raise();
     }
 
+    /// Queues a hit event and wakes the core task.
     pub fn push_hit_event(&self, event: HitEvent) {
         self.hit_events.borrow_mut().push_back(event);
         self.signal.raise();
     }
 
+    /// Queues the end of a forward that brought no value; the arguments are those of [`HitEvent::ForwardEnded`].
     pub fn push_forward_end(&self, hit: u32, hop: u8, reason: EndReason, sent: bool) {
         self.push_hit_event(HitEvent::ForwardEnded { hit, hop, reason, sent, value: None });
     }
 
+    /// Queues a new hit and wakes the core task.
     pub fn push_hit(&self, hit: IncomingHit) {
         self.incoming_hits.borrow_mut().push_back(hit);
         self.signal.raise();
     }
 
+    /// Whether all three queues are empty.
     pub fn is_empty(&self) -> bool {
         self.control_events.borrow().is_empty()
             && self.hit_events.borrow().is_empty()
--- a/crates/marshal/src/nodes.rs
+++ b/crates/marshal/src/nodes.rs
@@ -179,6 +179,9 @@
 }
 
 impl NodePool {
+    /// Creates a pool without nodes. `keepalive` is the time after which nodes close an idle connection; the marshal
+    /// closes it earlier. `max_pipelined` limits the concurrent forwards on one connection, and `max_connections` the
+    /// connections to all nodes together.
     pub fn new(
         inbox: Rc<Inbox>, executor: Rc<LocalExecutor<'static>>, clock: Clock,
         (connect_timeout, keepalive, max_pipelined): (Span, Span, usize), max_connections: usize,
--- a/crates/marshal/src/reactor.rs
+++ b/crates/marshal/src/reactor.rs
@@ -170,6 +170,7 @@
 }
 
 impl Timer {
+    /// A timer for this deadline; one in the past completes at the first poll.
     pub fn at(deadline: Instant) -> Self {
         Timer { deadline, number: None }
     }
--- a/crates/marshal/src/turn.rs
+++ b/crates/marshal/src/turn.rs
@@ -44,7 +44,9 @@
 /// Event that ended a wait.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Wakeup {
+    /// The socket may be readable, or is closed.
     Readable,
+    /// The socket may be writable, or is closed.
     Writable,
     Signaled,
     DeadlineReached,
