--- a/crates/lab/src/node.rs
+++ b/crates/lab/src/node.rs
@@ -19,8 +19,8 @@
 /// Scripted reply to one command, for tests.
 #[derive(Clone, Debug)]
 pub enum ScriptedReply {
-    /// Sends these bytes unchanged. The command does not count as executed, and as rejected if the bytes begin with
-    /// `-BUSY`.
+    /// Sends these bytes unchanged. The command does not count as executed; it counts as rejected if the bytes begin
+    /// with `-BUSY`.
     Send(Vec<u8>),
     /// Sends these bytes unchanged and closes the connection; the command does not count as executed.
     SendAndClose(Vec<u8>),
--- a/crates/lab/src/release.rs
+++ b/crates/lab/src/release.rs
@@ -40,7 +40,7 @@
     pub node_count: usize,
     /// Share of the fleet by stage, which is also the stage's cap; the last is 1.
     pub stage_shares: Vec<f64>,
-    /// Time allowed for nodes to start, before nodes that they replace are drained.
+    /// Time that the nodes of a stage or of a rollback are given to start.
     pub node_start_duration: Duration,
     /// Time that a stage lasts once its nodes have started; a vote that holds the stage extends it.
     pub stage_duration: Duration,
--- a/crates/marshal/src/inbox.rs
+++ b/crates/marshal/src/inbox.rs
@@ -28,10 +28,11 @@
     ListFailed,
     /// State of the newest build; in the response to a vote, with the outcome of that vote.
     Stage(StageReport, Option<ForwardOutcome>),
-    /// The platform's report that this node gave a wrong answer to a hit of the path group, `age` ago.
     WrongAnswerReport {
+        /// Listed id of the node, which the list may no longer contain.
         node: String,
         group: usize,
+        /// How long ago the answer was given.
         age: Span,
     },
     /// Build, path group, number of forwards counted over all marshals, and how many of them failed.
